--- a/bench/compareOrders.ts
+++ b/bench/compareOrders.ts
@@ -1,7 +1,7 @@
 /** Prints what each way to order and to refuse serves of the loads of `ScarceRoomModel`, over some seeds. */
 import { countService } from '../test/fakes/countService.js';
-import { judgeJob, LOADS, ScarceRoomModel } from '../test/fakes/ScarceRoomModel.js';
-import type { ScarceRoomJob, ScarceRoomPlay } from '../test/fakes/ScarceRoomModel.js';
+import { evaluateJob, LOADS, ScarceCapacityModel } from '../test/fakes/ScarceCapacityModel.js';
+import type { ScarceCapacityJob, ScarceCapacityRun } from '../test/fakes/ScarceCapacityModel.js';
 import { createRandom } from '../src/_lib/createRandom.js';
 import type { Admission } from '../src/process/dispatcher/Admission.js';
 import { ForecastAdmission } from '../src/process/dispatcher/Admission.js';
@@ -16,7 +16,7 @@
 const forecast = (): Admission => new ForecastAdmission(createRandom(1));
 
 /** Ways that are compared, by name. */
-const WAYS: Readonly<Record<string, Pick<ScarceRoomPlay, 'createOrder' | 'createAdmission'>>> = {
+const WAYS: Readonly<Record<string, Pick<ScarceCapacityRun, 'createOrder' | 'createAdmission'>>> = {
   'deadline, patience': { createOrder: deadline },
   'deadline, forecast': { createOrder: deadline, createAdmission: forecast },
   'fair, patience': { createOrder: fair },
@@ -26,8 +26,8 @@
 const percent = (share: number): string => (share * 100).toFixed(1).padStart(5);
 
 /** Median time after which jobs of the most urgent queue were refused, ms. */
-function findHeldMs(jobs: readonly ScarceRoomJob[]): string {
-  const held = jobs.filter((job) => job.queue === 'urgent' && judgeJob(job) === 'refused');
+function findHeldMs(jobs: readonly ScarceCapacityJob[]): string {
+  const held = jobs.filter((job) => job.queue === 'urgent' && evaluateJob(job) === 'refused');
   const times = held.map(({ answeredAt, arrivedAt }) => answeredAt - arrivedAt).sort((a, b) => a - b);
   return `${times[Math.floor(times.length / 2)] ?? '-'} (${times.length})`;
 }
@@ -39,7 +39,7 @@
   for (const [way, parts] of Object.entries(WAYS)) {
     const jobs = Array.from(
       { length: SEEDS },
-      (_, seed) => new ScarceRoomModel({ ...load, ...parts, seed }).run().jobs,
+      (_, seed) => new ScarceCapacityModel({ ...load, ...parts, seed }).run().jobs,
     );
     const s = countService(jobs.flat());
     const { urgent = 0, middle = 0, large = 0 } = s.queues;
--- a/bench/dispatchDefects.ts
+++ b/bench/dispatchDefects.ts
@@ -11,7 +11,7 @@
   },
   {
     name: 'an agent lets the tasks of a silent entry run on',
-    file: 'src/process/executor/AgentCore.js',
+    file: 'src/process/executor/Executor.js',
     find: 'if (ageMs <= this.bounds.orphanAfterMs)',
     replace: 'if (true)',
   },
@@ -75,19 +75,19 @@
 export const LIFE_DEFECTS: readonly Defect[] = [
   {
     name: 'a life of an upstream is known by its id only',
-    file: 'src/process/executor/buildLifeName.js',
+    file: 'src/process/executor/buildIncarnationName.js',
     find: 'return bornAt === undefined ? id : `${id}@${bornAt}`;',
     replace: 'return id;',
   },
   {
     name: 'what an earlier life ran counts as over before the next life is fenced',
-    file: 'src/process/executor/UpstreamLives.js',
+    file: 'src/process/executor/UpstreamIncarnations.js',
     find: 'earlier.supersede();',
     replace: "earlier.close('superseded');",
   },
   {
     name: 'a next life takes work beside what has reached it',
-    file: 'src/process/executor/UpstreamLives.js',
+    file: 'src/process/executor/UpstreamIncarnations.js',
     find: 'return others.every(({ isClosed }) => isClosed);',
     replace: 'return true;',
   },
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -6,12 +6,12 @@
 import {
   dispatchCommands,
   domainCommands,
-  lateWordCommands,
+  lateReportCommands,
   restartCommands,
-  roomCommands,
+  capacityCommands,
   suspensionCommands,
 } from '../test/fakes/dispatchCommands.js';
-import { runDispatchWorld } from '../test/fakes/runDispatchWorld.js';
+import { runDispatchSimulation } from '../test/fakes/runDispatchSimulation.js';
 import { runProcessSoak } from './runProcessSoak.js';
 import { RUN_AGENTS, RUN_ENTRIES, worldCommands } from '../test/fakes/worldCommands.js';
 
@@ -65,7 +65,7 @@
   const drawn = DISPATCH_CORES[core];
   if (drawn) {
     return console.log(
-      JSON.stringify(await runDispatchWorld(drawn, seed, BATCH, true, drawn === restartCommands)),
+      JSON.stringify(await runDispatchSimulation(drawn, seed, BATCH, true, drawn === restartCommands)),
     );
   }
   runBatch(seed);
@@ -75,11 +75,11 @@
 /** Randomised runs of dispatchers and agents: the first ones, then those with more kinds of trouble each. */
 const DISPATCH_CORES: Readonly<Record<string, typeof dispatchCommands>> = {
   dispatch: dispatchCommands,
-  late: lateWordCommands,
+  late: lateReportCommands,
   domains: domainCommands,
   restarts: restartCommands,
   suspensions: suspensionCommands,
-  rooms: roomCommands,
+  rooms: capacityCommands,
 };
 
 const CORES =
--- a/src/_lib/BootClock.ts
+++ b/src/_lib/BootClock.ts
@@ -46,7 +46,7 @@
 };
 
 /** What a clock tells of itself; called while it is being read, so that nothing may be decided there. */
-export type ClockNote = (
+export type ClockEventListener = (
   event: 'suspended' | 'time-of-day-stepped' | 'boot-clock',
   fields: Readonly<Record<string, unknown>>,
 ) => void;
@@ -85,7 +85,7 @@
    * @param readings - of the VM
    */
   constructor(
-    private readonly note: ClockNote,
+    private readonly note: ClockEventListener,
     private readonly readings = VM_READINGS,
   ) {
     super();
--- a/src/_lib/readClock.ts
+++ b/src/_lib/readClock.ts
@@ -38,6 +38,6 @@
  * @example
  * noteSuspension(3_000);
  */
-export function noteSuspension(ms: number): void {
+export function recordSuspension(ms: number): void {
   anchorMs += ms;
 }
--- a/src/connection/peer/PeerDialer.ts
+++ b/src/connection/peer/PeerDialer.ts
@@ -4,7 +4,7 @@
 
 import type { Clock } from '../../_lib/Clock.js';
 import { splitAddress } from '../splitAddress.js';
-import { EchoWatch } from './EchoWatch.js';
+import { PongMonitor } from './PongMonitor.js';
 import { LineChannel } from './LineChannel.js';
 import type { PeerMessage } from './peerMessages.js';
 
@@ -25,7 +25,7 @@
   channel: LineChannel | undefined;
   socket: Socket | undefined;
   /** Echoes on the channels to it, one after another. */
-  readonly echoes: EchoWatch;
+  readonly echoes: PongMonitor;
   retryMs: number;
   timer: NodeJS.Timeout | undefined;
 }
@@ -59,7 +59,7 @@
     const peer: DialedPeer = {
       channel: undefined,
       socket: undefined,
-      echoes: new EchoWatch(this.firstEchoMs),
+      echoes: new PongMonitor(this.firstEchoMs),
       retryMs: FIRST_RETRY_MS,
       timer: undefined,
     };
@@ -76,19 +76,19 @@
   }
 
   /** A ping was sent on the channel to an address. */
-  notePing(address: string): void {
-    this.peers.get(address)?.echoes.notePing(this.clock.now());
+  recordPing(address: string): void {
+    this.peers.get(address)?.echoes.recordPing(this.clock.now());
   }
 
   /** The echo of a ping came that was sent `at`, our time in ms. */
-  noteEcho(address: string, at: number): void {
-    this.peers.get(address)?.echoes.noteEcho(this.clock.now() - at);
+  recordPong(address: string, at: number): void {
+    this.peers.get(address)?.echoes.recordPong(this.clock.now() - at);
   }
 
   /** This process stood still: echoes may wait to be read. */
-  notePause(): void {
+  handlePause(): void {
     const now = this.clock.now();
-    for (const { echoes } of this.peers.values()) echoes.notePause(now);
+    for (const { echoes } of this.peers.values()) echoes.handlePause(now);
   }
 
   /** Dials those anew whose echo is overdue: an open connection may carry nothing any more while new ones work. */
@@ -118,7 +118,7 @@
 
   private renewSilent(address: string, peer: DialedPeer): void {
     if (this.peers.get(address) !== peer || !peer.echoes.isOverdue(this.clock.now())) return;
-    peer.echoes.noteSilence();
+    peer.echoes.recordTimeout();
     this.renew(address, 'silent');
   }
 
@@ -149,7 +149,7 @@
   private open(address: string, peer: DialedPeer, socket: Socket): void {
     if (this.peers.get(address) !== peer) return void socket.destroy();
     const channel = new LineChannel(socket, {
-      noteBytes: () => peer.echoes.noteArrival(this.clock.now()),
+      noteBytes: () => peer.echoes.recordArrival(this.clock.now()),
       receive: (message) => this.events.receive(address, message),
       close: (reason) => {
         peer.channel = undefined;
@@ -158,7 +158,7 @@
       },
     });
     peer.channel = channel;
-    peer.echoes.noteOpened();
+    peer.echoes.handleOpened();
     peer.retryMs = FIRST_RETRY_MS;
     this.events.open(address, channel);
   }
--- a/src/connection/peer/EchoWatch.ts
+++ b/src/connection/peer/PongMonitor.ts
@@ -22,7 +22,7 @@
 const MAX_ARRIVALS_MS = 1_500;
 
 /** Watches the connections to one peer, one after another. */
-export class EchoWatch {
+export class PongMonitor {
   private readonly timeout: AnswerTimeout;
   /** When the oldest ping without an echo was sent on the open connection. */
   private awaitedSince: number | undefined;
@@ -35,36 +35,36 @@
   }
 
   /** A connection was opened: nothing is awaited on it yet. */
-  noteOpened(): void {
+  handleOpened(): void {
     this.awaitedSince = undefined;
     this.arrivedAt = -Infinity;
   }
 
   /** Bytes came, of an echo or of anything else. */
-  noteArrival(now: number): void {
+  recordArrival(now: number): void {
     this.arrivedAt = now;
   }
 
   /** A ping was sent. */
-  notePing(now: number): void {
+  recordPing(now: number): void {
     this.awaitedSince ??= now;
   }
 
   /** An echo came, `tookMs` after its ping. */
-  noteEcho(tookMs: number): void {
+  recordPong(tookMs: number): void {
     this.awaitedSince = undefined;
     // One that spans a standstill tells nothing of how long echoes take.
     if (tookMs <= MAX_ECHO_MS) this.timeout.noteAnswer(tookMs);
   }
 
   /** The connection was given up. */
-  noteSilence(): void {
+  recordTimeout(): void {
     this.awaitedSince = undefined;
     this.timeout.noteSilence();
   }
 
   /** This process stood still: an echo may wait to be read. */
-  notePause(now: number): void {
+  handlePause(now: number): void {
     if (this.awaitedSince !== undefined) this.awaitedSince = now;
   }
 
--- a/src/connection/peer/peerMessages.ts
+++ b/src/connection/peer/peerMessages.ts
@@ -19,7 +19,7 @@
 export type UpstreamState = 'absent' | 'joining' | 'ready' | 'silent' | 'draining';
 
 /** How far an agent trusts its upstream with work, from what it did of late. */
-export type UpstreamTrust = 'healthy' | 'probation' | 'suspect';
+export type UpstreamHealth = 'healthy' | 'probation' | 'suspect';
 
 /** What an agent's upstream is; told on a link when it opens and when it changes. */
 export interface UpstreamDescription {
@@ -30,11 +30,11 @@
 }
 
 /** What an agent's upstream has left. */
-export interface RoomReport {
+export interface CapacityReport {
   /** Undefined while it is what the link was last told. */
   readonly description: UpstreamDescription | undefined;
   readonly state: UpstreamState;
-  readonly trust: UpstreamTrust;
+  readonly trust: UpstreamHealth;
   readonly free: Resources;
   /** Starts of the addressed entry that are counted in `free`, since its link opened. */
   readonly startsSeen: number;
@@ -54,7 +54,7 @@
 }
 
 /** First message of an agent on a link. */
-export interface AgentHello {
+export interface ExecutorHello {
   readonly type: 'agent-hello';
   readonly agent: string;
   /** Differs between two lives of the process. */
@@ -73,25 +73,25 @@
 }
 
 /** Where an entry takes links. */
-export interface EntryPlace {
+export interface DispatcherPlace {
   /** `host:port`. */
   readonly address: string;
   readonly failureDomain: string;
 }
 
 /** First message of an entry on a link that an agent dialed. */
-export interface EntryWelcome {
+export interface DispatcherWelcome {
   readonly type: 'entry-welcome';
   readonly entry: string;
   readonly life: string;
-  readonly place: EntryPlace;
+  readonly place: DispatcherPlace;
 }
 
 /** First message of an entry that dials another one to make itself known. */
-export interface EntryHello {
+export interface DispatcherHello {
   readonly type: 'entry-hello';
   readonly entry: string;
-  readonly place: EntryPlace;
+  readonly place: DispatcherPlace;
 }
 
 /** Regular sign of life of an agent. */
@@ -103,7 +103,7 @@
   /** Newest list of emptied failure domains that it holds; -1 for none. Agents of earlier versions tell none. */
   readonly emptiedRevision?: number | undefined;
   /** Undefined while it is what the link was last told. */
-  readonly room: RoomReport | undefined;
+  readonly room: CapacityReport | undefined;
   /** Time from the newest echoed ping to its echo, ms; undefined before the first. Agents of earlier versions tell none. */
   readonly echoMs?: number | undefined;
   /** Attempts that stand still or crawl; undefined for none. */
@@ -134,10 +134,10 @@
 }
 
 /** Room that changed between two pings. */
-export interface RoomChange {
+export interface CapacityChange {
   readonly type: 'room';
   readonly at: number;
-  readonly room: RoomReport;
+  readonly room: CapacityReport;
 }
 
 /** Order to run an attempt. */
@@ -299,7 +299,7 @@
 /** Entries the sender has a working link to, or is. */
 export interface MembersNotice {
   readonly type: 'members';
-  readonly entries: readonly EntryPlace[];
+  readonly entries: readonly DispatcherPlace[];
 }
 
 /** Messages that both sides of a link send: what the operators have written, and who is there. */
@@ -313,14 +313,22 @@
   | MembersNotice;
 
 /** Messages of agents. */
-export type AgentMessage = AgentHello | Ping | RoomChange | AttemptResult | CrashNotice | SharedMessage;
+export type ExecutorMessage =
+  ExecutorHello | Ping | CapacityChange | AttemptResult | CrashNotice | SharedMessage;
 
 /** Messages of entries. */
-export type EntryMessage =
-  EntryWelcome | EntryHello | Pong | DemandNotice | StartOrder | StopOrder | SuspectNotice | SharedMessage;
+export type DispatcherMessage =
+  | DispatcherWelcome
+  | DispatcherHello
+  | Pong
+  | DemandNotice
+  | StartOrder
+  | StopOrder
+  | SuspectNotice
+  | SharedMessage;
 
 /** Any message of a link. */
-export type PeerMessage = AgentMessage | EntryMessage;
+export type PeerMessage = ExecutorMessage | DispatcherMessage;
 
 /** Any line of a link. */
 export type WireMessage = PeerMessage | StartBatch;
--- a/src/ports/CallerGateway.ts
+++ b/src/ports/CallerGateway.ts
@@ -12,7 +12,7 @@
 }
 
 /** What the front door asks of the entry. */
-export interface JobDesk {
+export interface JobService {
   readonly configuration: Configuration | undefined;
   /** Whether new connections are welcome. */
   readonly isReady: boolean;
@@ -20,9 +20,9 @@
   readonly isLeaving: boolean;
   submit(submission: JobSubmission, caller: Caller): void;
   /** The front door has turned a job away; for log and metrics. */
-  noteRejected(jobId: string, status: number, reason: string): void;
+  recordRejected(jobId: string, status: number, reason: string): void;
   /** Taking a call has failed; it was answered with an error. */
-  noteFailure(call: string, error: unknown): void;
+  recordFailure(call: string, error: unknown): void;
   /** The caller's connection is gone. */
   abandon(jobId: string, caller: Caller): void;
   findState(jobId: string): JobState | undefined;
@@ -34,7 +34,7 @@
 
 /** Receives callers and turns what they say into calls of the desk. */
 export abstract class CallerGateway {
-  abstract start(desk: JobDesk): Promise<void>;
+  abstract start(desk: JobService): Promise<void>;
   /** Applies limits of a new configuration. */
   abstract applyConfiguration(configuration: Configuration): void;
   /** Ends idle connections and takes no new ones. */
--- a/src/ports/ConfigurationSource.ts
+++ b/src/ports/ConfigurationSource.ts
@@ -4,7 +4,7 @@
 import type { DomainChange, EmptiedDomains } from '../version/emptiedDomains.js';
 
 /** What the operators write about; `record`: something that cannot be told. */
-export type WordSubject = 'configuration' | 'evacuation' | 'record';
+export type FindingSubject = 'configuration' | 'evacuation' | 'record';
 
 /** Takes what the source says. */
 export interface ConfigurationListener {
@@ -15,9 +15,9 @@
   /** A failure domain was emptied or taken back; the record may be older than what is known. */
   readonly changeDomain: (change: DomainChange) => void;
   /** A configuration, some of its routes, an evacuation or a record could not be read; what was in force stays. */
-  readonly noteFindings: (subject: WordSubject, findings: readonly Finding[]) => void;
+  readonly reportFindings: (subject: FindingSubject, findings: readonly Finding[]) => void;
   /** The source was lost or found again. */
-  readonly note: (state: 'reachable' | 'unreachable', detail: string) => void;
+  readonly reportState: (state: 'reachable' | 'unreachable', detail: string) => void;
 }
 
 /** Follows the operators' word for the life of the process. */
--- a/src/ports/TaskExecutor.ts
+++ b/src/ports/UpstreamApi.ts
@@ -82,7 +82,7 @@
  * Sends orders to one upstream; where another id is there, calls are answered `other-life`. Every call rejects when no
  * answer came in time; with a ConnectionRefusedError if nobody listens at the upstream's address, so that nothing was sent.
  */
-export abstract class TaskExecutor {
+export abstract class UpstreamApi {
   abstract start(order: RunStart, timeoutMs: number): Promise<OrderAnswer<StartVerdict>>;
   abstract stop(name: RunName, fencingToken: number, timeoutMs: number): Promise<OrderAnswer<StopVerdict>>;
   abstract renew(renewal: LeaseRenewal, timeoutMs: number): Promise<LeaseAnswer>;
--- a/src/ports/UpstreamRegistry.ts
+++ b/src/ports/UpstreamRegistry.ts
@@ -1,6 +1,6 @@
 /** Port: how upstreams report themselves to the agent beside them. */
 import type { Resources } from '../request/dispatch/submission.js';
-import type { TaskExecutor } from './TaskExecutor.js';
+import type { UpstreamApi } from './UpstreamApi.js';
 
 /** What an upstream says of itself. */
 export interface UpstreamReport {
@@ -26,15 +26,15 @@
   /** @param bornAt - life that leaves; undefined where it does not say */
   leave(upstreamId: string, bornAt: number | undefined): void;
   /** A report could not be read. */
-  noteRejected(call: string, reason: string): void;
+  recordRejected(call: string, reason: string): void;
   /** Taking a call has failed; it was answered with an error. */
-  noteFailure(call: string, error: unknown): void;
+  recordFailure(call: string, error: unknown): void;
 }
 
 /** Where upstreams report. */
 export abstract class UpstreamRegistry {
   abstract start(listener: UpstreamListener): Promise<void>;
   /** Opens the way to an upstream that has reported. */
-  abstract openExecutor(report: UpstreamReport): TaskExecutor;
+  abstract openApi(report: UpstreamReport): UpstreamApi;
   abstract stop(): Promise<void>;
 }
--- a/src/process/ConfigurationExchange.test.ts
+++ b/src/process/ConfigurationExchange.test.ts
@@ -81,10 +81,10 @@
 
   it('tells which version it has and what that names, if any, and not the routes', () => {
     const exchange = createExchange();
-    exchange.tell(channel);
+    exchange.sendVersion(channel);
     expect(sent).to.deep.equal([]);
     exchange.adopt(createConfiguration(4, 2));
-    exchange.tell(channel);
+    exchange.sendVersion(channel);
     const services = ['service-of-4', 'service-1'];
     const { length } = encodeConfiguration(createConfiguration(4, 2));
     expect(sent).to.deep.equal([{ type: 'configuration-summary', version: 4, services, length }]);
@@ -184,7 +184,7 @@
       expect(reader.version).to.equal(-1);
       const whole = Math.ceil(encodeConfiguration(createConfiguration(3, 1_500)).length / 8_192);
       change = (message) => message;
-      reader.noteClosed(toFirst);
+      reader.handleClosed(toFirst);
       echo(reader, [[second, toSecond]], 1_000);
       expect(reader.version).to.equal(3);
       // One piece was lost with the link.
@@ -245,7 +245,7 @@
       const [, toOther] = link(other, reader);
       change = (message) => (message.type === 'configuration-piece' ? undefined : message);
       echo(reader, [[newest, toNewest]], 300);
-      reader.noteClosed(toNewest);
+      reader.handleClosed(toNewest);
       change = (message) => message;
       echo(reader, [[other, toOther]], 7_000);
       expect(reader.version).to.equal(7);
--- a/src/process/ConfigurationExchange.ts
+++ b/src/process/ConfigurationExchange.ts
@@ -21,7 +21,7 @@
 import type { Configuration } from '../version/configuration.js';
 import { listServices } from '../version/listServices.js';
 import type { PeerChannel } from './NewestExchange.js';
-import { PiecePace } from './PiecePace.js';
+import { PieceRateLimiter } from './PieceRateLimiter.js';
 import { PieceReceiver } from './PieceReceiver.js';
 import { PieceSender } from './PieceSender.js';
 import type { SizedMessage } from './PieceSender.js';
@@ -93,7 +93,7 @@
   private wanted: { readonly version: number; toldAt: number } | undefined;
   private readonly sender: PieceSender;
   private readonly receiver: PieceReceiver;
-  private readonly pace: PiecePace;
+  private readonly pace: PieceRateLimiter;
   private readonly avoidedUntil = new WeakMap<PeerChannel, number>();
   private asked: PeerChannel | undefined;
   private askedAt = -Infinity;
@@ -107,7 +107,7 @@
     private readonly events: ExchangeEvents,
   ) {
     const { usesRoutes, linkMbps, timeline } = options;
-    this.pace = new PiecePace(linkMbps);
+    this.pace = new PieceRateLimiter(linkMbps);
     this.sender = new PieceSender(this.pace, timeline);
     const patienceMs = usesRoutes ? URGENT_PATIENCE_MS : PATIENCE_MS;
     this.receiver = new PieceReceiver({ isUrgent: usesRoutes, patienceMs }, this.pace, timeline, {
@@ -158,7 +158,7 @@
   }
 
   /** Tells a peer which version is held; it asks for more if that is news there. */
-  tell(channel: PeerChannel): void {
+  sendVersion(channel: PeerChannel): void {
     if (this.held) channel.send(this.readSummary(this.held));
   }
 
@@ -167,7 +167,7 @@
     if (!this.held) return;
     const isUrgent = request.isUrgent === true;
     if (request.position === undefined) return this.sender.add(channel, isUrgent, () => this.buildWhole());
-    if (request.version !== this.held.version) return this.tell(channel);
+    if (request.version !== this.held.version) return this.sendVersion(channel);
     this.sender.add(channel, isUrgent, () => this.buildPiece(request));
   }
 
@@ -191,7 +191,7 @@
   }
 
   /** A peer is gone: what it was asked for is asked of another one. */
-  noteClosed(channel: PeerChannel): void {
+  handleClosed(channel: PeerChannel): void {
     this.sender.drop(channel);
     this.receiver.drop(channel);
     if (this.asked === channel) this.askedAt = -Infinity;
--- a/src/process/LogBudget.ts
+++ b/src/process/LogRateLimiter.ts
@@ -3,7 +3,7 @@
 const SECOND_MS = 1_000;
 
 /** Budget of one kind of line. */
-export class LogBudget {
+export class LogRateLimiter {
   private windowAt = 0;
   private used = 0;
   private skipped = 0;
--- a/src/process/MemberTable.ts
+++ b/src/process/MemberTable.ts
@@ -2,13 +2,13 @@
  * The other entries, as an entry knows them: from its settings, and from peers that have a working link to
  * them. Only a working link counts as a sign of life, so that a gone entry fades from every table.
  */
-import type { EntryPlace } from '../connection/peer/peerMessages.js';
+import type { DispatcherPlace } from '../connection/peer/peerMessages.js';
 
 /** How long a reported address is kept without a new report, ms. */
 const KEEP_MS = 15_000;
 
 interface Member {
-  readonly place: EntryPlace;
+  readonly place: DispatcherPlace;
   readonly heardAt: number;
 }
 
@@ -23,21 +23,21 @@
    *
    * @returns those that were not known
    */
-  note(places: readonly EntryPlace[], now: number): EntryPlace[] {
+  record(places: readonly DispatcherPlace[], now: number): DispatcherPlace[] {
     const fresh = places.filter(({ address }) => !this.members.has(address));
     for (const place of places) this.members.set(place.address, { place, heardAt: now });
     return fresh;
   }
 
   /** Entries that were reported of late. */
-  list(now: number): EntryPlace[] {
+  list(now: number): DispatcherPlace[] {
     for (const [address, { heardAt }] of this.members)
       if (now - heardAt > KEEP_MS) this.members.delete(address);
     return [...this.members.values()].map(({ place }) => place);
   }
 
   /** Some of the entries that were reported of late, others with each call. */
-  takeTurn(count: number, now: number): EntryPlace[] {
+  selectNext(count: number, now: number): DispatcherPlace[] {
     const places = this.list(now);
     if (places.length <= count) return places;
     const start = this.turn % places.length;
--- a/src/process/NewestExchange.ts
+++ b/src/process/NewestExchange.ts
@@ -55,7 +55,7 @@
   }
 
   /** Sends the newest version to a peer. */
-  tell(channel: PeerChannel): void {
+  sendNewest(channel: PeerChannel): void {
     if (this.held !== undefined) channel.send(this.buildNotice(this.held));
   }
 }
--- a/src/process/OperatorExchange.ts
+++ b/src/process/OperatorExchange.ts
@@ -15,19 +15,19 @@
 import type { PeerChannel } from './NewestExchange.js';
 
 /** Where a process has the operators' word from. */
-export type WordSource = 'store' | 'peer';
+export type UpdateSource = 'store' | 'peer';
 
 /** What the process does with what is new. */
 export interface OperatorEvents {
-  readonly changeConfiguration: (configuration: Configuration, before: number, from: WordSource) => void;
+  readonly changeConfiguration: (configuration: Configuration, before: number, from: UpdateSource) => void;
   /** The list is newer than the one before; it may name the same domains. */
-  readonly changeEmptied: (emptied: EmptiedDomains, from: WordSource) => void;
+  readonly changeEmptied: (emptied: EmptiedDomains, from: UpdateSource) => void;
   /** A version has come whole to a process that keeps it only to pass it on. */
   readonly keepConfiguration?: (version: number, before: number) => void;
   /** The services of a version are known. */
-  readonly noteServices?: (version: number, count: number) => void;
+  readonly recordServices?: (version: number, count: number) => void;
   /** A configuration could not be fetched from a peer. */
-  readonly noteFault?: (version: number, problem: string) => void;
+  readonly recordFault?: (version: number, problem: string) => void;
 }
 
 /** A process that uses the routes, on a link that pieces never fill. */
@@ -39,7 +39,7 @@
 };
 
 /** Versions that both sides of a link tell. */
-export interface ToldVersions {
+export interface ReportedVersions {
   /** Of the configuration; -1 for none. */
   readonly version: number;
   /** Of the list of emptied failure domains; -1 for none. Processes of earlier versions tell none. */
@@ -57,8 +57,8 @@
   ) {
     this.configurations = new ConfigurationExchange(options, {
       noteAdopted: (version, before) => this.noteAdopted(version, before),
-      noteServices: (version, count) => this.events.noteServices?.(version, count),
-      noteFault: (version, problem) => this.events.noteFault?.(version, problem),
+      noteServices: (version, count) => this.events.recordServices?.(version, count),
+      noteFault: (version, problem) => this.events.recordFault?.(version, problem),
     });
   }
 
@@ -81,12 +81,12 @@
   }
 
   /** Versions to tell with a ping or an echo. */
-  get versions(): Required<ToldVersions> {
+  get versions(): Required<ReportedVersions> {
     return { version: this.configurations.version, emptiedRevision: this.domains.version };
   }
 
   /** Takes a configuration, unless it is older than the one that is held. */
-  adoptConfiguration(configuration: Configuration, from: WordSource): void {
+  adoptConfiguration(configuration: Configuration, from: UpdateSource): void {
     const before = this.configurations.version;
     if (!this.configurations.adopt(configuration)) return;
     if (this.configurations.newest) this.events.changeConfiguration(configuration, before, from);
@@ -94,31 +94,31 @@
   }
 
   /** Takes a list of emptied failure domains, unless it is older than the one that is held. */
-  adoptEmptied(emptied: EmptiedDomains, from: WordSource): void {
+  adoptEmptied(emptied: EmptiedDomains, from: UpdateSource): void {
     if (this.domains.adopt(emptied)) this.events.changeEmptied(emptied, from);
   }
 
   /** Takes a record on one failure domain; before the first whole list it says too little. */
-  changeDomain(change: DomainChange, from: WordSource): void {
+  changeDomain(change: DomainChange, from: UpdateSource): void {
     const { newest } = this.domains;
     if (newest) this.adoptEmptied(applyDomainChange(newest, change), from);
   }
 
   /** A peer has told its versions: asks for what is newer there. */
-  compareVersions({ version, emptiedRevision }: ToldVersions, channel: PeerChannel, now: number): void {
+  compareVersions({ version, emptiedRevision }: ReportedVersions, channel: PeerChannel, now: number): void {
     this.configurations.compareVersion(version, channel, now);
     if (emptiedRevision !== undefined) this.domains.compareVersion(emptiedRevision, channel, now);
   }
 
   /** A link is gone. */
-  noteClosed(channel: PeerChannel): void {
-    this.configurations.noteClosed(channel);
+  handleClosed(channel: PeerChannel): void {
+    this.configurations.handleClosed(channel);
   }
 
   /** Tells a peer what is known: all emptied failure domains, and which configuration. */
-  tell(channel: PeerChannel): void {
-    this.domains.tell(channel);
-    this.configurations.tell(channel);
+  sendVersions(channel: PeerChannel): void {
+    this.domains.sendNewest(channel);
+    this.configurations.sendVersion(channel);
   }
 
   /**
@@ -138,7 +138,7 @@
         this.configurations.takePiece(message, channel);
         return true;
       case 'emptied-request':
-        this.domains.tell(channel);
+        this.domains.sendNewest(channel);
         return true;
       case 'configuration':
         this.adoptConfiguration(message.configuration, 'peer');
--- a/src/process/PauseGuard.ts
+++ b/src/process/PauseGuard.ts
@@ -26,7 +26,7 @@
   }
 
   /** Looks at the time at the head of a turn. */
-  look(now: number): void {
+  update(now: number): void {
     const gapMs = now - this.lastAt;
     this.lastAt = now;
     if (gapMs <= PAUSE_MS) return;
--- a/src/process/PiecePace.ts
+++ b/src/process/PieceRateLimiter.ts
@@ -11,7 +11,7 @@
 const HEAD_BYTES = 120;
 
 /** Pace on one VM's link. */
-export class PiecePace {
+export class PieceRateLimiter {
   private readonly bytesPerMs: number;
 
   /** @param linkMbps - of the VM's link, Mbit/s */
--- a/src/process/PieceReceiver.ts
+++ b/src/process/PieceReceiver.ts
@@ -5,7 +5,7 @@
 import type { Timeline } from '../_lib/Timeline.js';
 import type { ConfigurationPiece } from '../connection/peer/peerMessages.js';
 import type { PeerChannel } from './NewestExchange.js';
-import type { PiecePace } from './PiecePace.js';
+import type { PieceRateLimiter } from './PieceRateLimiter.js';
 
 /** What a receiver tells its owner. */
 export interface ReceiverEvents {
@@ -38,7 +38,7 @@
 
   constructor(
     private readonly options: ReceiverOptions,
-    private readonly pace: PiecePace,
+    private readonly pace: PieceRateLimiter,
     private readonly timeline: Timeline,
     private readonly events: ReceiverEvents,
   ) {}
--- a/src/process/PieceSender.test.ts
+++ b/src/process/PieceSender.test.ts
@@ -2,7 +2,7 @@
 
 import { FakeTimeline } from '../../test/fakes/FakeTimeline.js';
 import type { PeerChannel } from './NewestExchange.js';
-import { PiecePace } from './PiecePace.js';
+import { PieceRateLimiter } from './PieceRateLimiter.js';
 import { PieceSender } from './PieceSender.js';
 
 const MESSAGE = { type: 'configuration-request' } as const;
@@ -11,7 +11,7 @@
   for (const mbps of [2, 17.5, 1_000]) {
     it(`takes a fifth of a link of ${mbps} Mbit/s, and its pieces little of it at once`, () => {
       const time = new FakeTimeline();
-      const pace = new PiecePace(mbps);
+      const pace = new PieceRateLimiter(mbps);
       const sender = new PieceSender(pace, time);
       const bytesPerMs = (mbps * 1_000) / 8;
       expect(pace.pieceLength / bytesPerMs).to.be.at.most(8);
@@ -38,7 +38,7 @@
 
   it('sends what was asked last, and nothing to a peer that is gone', () => {
     const time = new FakeTimeline();
-    const sender = new PieceSender(new PiecePace(1), time);
+    const sender = new PieceSender(new PieceRateLimiter(1), time);
     const sent: string[] = [];
     const listen = (name: string): PeerChannel => ({ send: () => sent.push(name) });
     const [first, asksTwice, leaves] = [listen('first'), listen('asks-twice'), listen('leaves')];
--- a/src/process/PieceSender.ts
+++ b/src/process/PieceSender.ts
@@ -6,7 +6,7 @@
 import type { Timeline } from '../_lib/Timeline.js';
 import type { PeerMessage } from '../connection/peer/peerMessages.js';
 import type { PeerChannel } from './NewestExchange.js';
-import type { PiecePace } from './PiecePace.js';
+import type { PieceRateLimiter } from './PieceRateLimiter.js';
 
 /** A message and what it costs. */
 export interface SizedMessage {
@@ -27,7 +27,7 @@
   private isScheduled = false;
 
   constructor(
-    private readonly pace: PiecePace,
+    private readonly pace: PieceRateLimiter,
     private readonly timeline: Timeline,
   ) {}
 
--- a/src/process/createDaemonClock.ts
+++ b/src/process/createDaemonClock.ts
@@ -1,6 +1,6 @@
 import { BootClock } from '../_lib/BootClock.js';
-import type { ClockNote } from '../_lib/BootClock.js';
-import { noteSuspension } from '../_lib/readClock.js';
+import type { ClockEventListener } from '../_lib/BootClock.js';
+import { recordSuspension } from '../_lib/readClock.js';
 
 /**
  * Creates the clock of a daemon, which counts the time in which its VM was suspended. What it notes is logged in a
@@ -9,9 +9,9 @@
  * @param log - of the process
  * @returns the clock
  */
-export function createDaemonClock(log: ClockNote): BootClock {
+export function createDaemonClock(log: ClockEventListener): BootClock {
   return new BootClock((event, fields) => {
-    if (event === 'suspended') noteSuspension(Number(fields['ms']));
+    if (event === 'suspended') recordSuspension(Number(fields['ms']));
     queueMicrotask(() => log(event, fields));
   });
 }
--- a/src/process/dispatcher/Admission.test.ts
+++ b/src/process/dispatcher/Admission.test.ts
@@ -3,10 +3,10 @@
 import { ROUTE, STEP } from '../../../test/fakes/dispatchFixtures.js';
 import { FakeCaller } from '../../../test/fakes/FakeCaller.js';
 import { ForecastAdmission } from './Admission.js';
-import { AgentView } from './AgentView.js';
+import { ExecutorView } from './ExecutorView.js';
 import { createDispatchJob, stepTask } from './dispatchJob.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
-import type { RoomView } from './RoomForecast.js';
+import type { CapacityView } from './CapacityForecast.js';
 
 const PATIENCE_MS = 1_000;
 const NOW = 1_000;
@@ -19,7 +19,7 @@
 
 describe('ForecastAdmission', () => {
   let admission: ForecastAdmission;
-  let agent: AgentView;
+  let agent: ExecutorView;
   let waiting: DispatchTask[];
 
   /** Has an agent of two cores, which runs one task of a core in each of them, and has told no room. */
@@ -33,10 +33,10 @@
       entryLife: '',
       orphanMs: 1,
     };
-    agent = new AgentView({ type: 'agent-hello', ...hello }, NOW);
+    agent = new ExecutorView({ type: 'agent-hello', ...hello }, NOW);
     const description = { upstream: 'u', service: ROUTE.service, labels: [], capacity: CAPACITY };
     const told = { ...CAPACITY, cpuMilli: free };
-    agent.noteRoom(
+    agent.recordCapacity(
       { description, state: 'ready', trust: 'healthy', free: told, startsSeen: 0, speed: 1 },
       NOW,
     );
@@ -64,9 +64,9 @@
     return job;
   }
 
-  function view(now = NOW): RoomView {
-    const listAgents = (): AgentView[] => [agent];
-    return { now, typicalSpeed: 1, staleMs: 200, listAgents, listWaiting: () => waiting };
+  function view(now = NOW): CapacityView {
+    const listAgents = (): ExecutorView[] => [agent];
+    return { now, typicalSpeed: 1, staleMs: 200, listExecutors: listAgents, listWaiting: () => waiting };
   }
 
   beforeEach(() => {
--- a/src/process/dispatcher/Admission.ts
+++ b/src/process/dispatcher/Admission.ts
@@ -3,8 +3,8 @@
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import { ANSWER_MARGIN_MS, findGiveUpReason, USELESS_FACTOR } from './findGiveUpReason.js';
 import type { GiveUpReason } from './findGiveUpReason.js';
-import { canRunAnywhere, RoomForecast } from './RoomForecast.js';
-import type { RoomView } from './RoomForecast.js';
+import { canRunAnywhere, CapacityForecast } from './CapacityForecast.js';
+import type { CapacityView } from './CapacityForecast.js';
 
 /** Shortest time after which a refused caller may come back, ms. */
 export const RETRY_AFTER_MS = 1_000;
@@ -30,15 +30,15 @@
 /** Decides what is given up. It hears of what arrives, is sent, ends and is refused. */
 export abstract class Admission {
   /** Finds why an open job is to be given up; undefined while it is to be served. */
-  abstract findReason(job: DispatchJob, view: RoomView): GiveUpReason | undefined;
+  abstract findReason(job: DispatchJob, view: CapacityView): GiveUpReason | undefined;
 
   /** Finds after how long the caller of a refused job may come back, ms. */
-  findRetryMs(_job: DispatchJob, _view: RoomView): number {
+  findRetryMs(_job: DispatchJob, _view: CapacityView): number {
     return RETRY_AFTER_MS;
   }
 
   /** Tells what a refusal went by; undefined if by no forecast. */
-  describeForecast(_job: DispatchJob, _view: RoomView): ForecastFigures | undefined {
+  describeForecast(_job: DispatchJob, _view: CapacityView): ForecastFigures | undefined {
     return undefined;
   }
 
@@ -58,15 +58,15 @@
 }
 
 /** Goes by the job's own clock: what its caller's patience and its objective leave. */
-export class PatienceAdmission extends Admission {
-  override findReason(job: DispatchJob, { now, typicalSpeed }: RoomView): GiveUpReason | undefined {
+export class CallerTimeoutAdmission extends Admission {
+  override findReason(job: DispatchJob, { now, typicalSpeed }: CapacityView): GiveUpReason | undefined {
     return findGiveUpReason(job, now, typicalSpeed);
   }
 }
 
 /** Also goes by what the dispatcher's part of the room is expected to serve before the job. In doubt, a job is kept. */
 export class ForecastAdmission extends Admission {
-  private readonly forecasts = new Map<string, RoomForecast>();
+  private readonly forecasts = new Map<string, CapacityForecast>();
 
   /** @param nextRandom - spreads the times at which callers come back */
   constructor(private readonly nextRandom: () => number) {
@@ -75,36 +75,36 @@
 
   override get drainCores(): number {
     let drain = 0;
-    for (const forecast of this.forecasts.values()) drain += forecast.lastDrain;
+    for (const forecast of this.forecasts.values()) drain += forecast.lastServiceRate;
     return drain / 1_000;
   }
 
-  override findReason(job: DispatchJob, view: RoomView): GiveUpReason | undefined {
+  override findReason(job: DispatchJob, view: CapacityView): GiveUpReason | undefined {
     const { now } = view;
     const reason = findGiveUpReason(job, now, view.typicalSpeed);
     if (reason !== undefined || job.begun || job.out > 0) return reason;
     if (!job.submission.steps.every(canRunAnywhere)) return undefined;
     const room = this.findForecast(job).findLatestState(view);
     if (!room || room.freeCpu >= sumCpu(job)) return undefined;
-    const chainMs = findChainMs(job.submission.steps) / room.pace;
-    const waitMs = ((room.workUntil.get(job) ?? 0) / room.drain) * CERTAIN_PART;
+    const chainMs = findChainMs(job.submission.steps) / room.throughput;
+    const waitMs = ((room.workUntil.get(job) ?? 0) / room.serviceRate) * CERTAIN_PART;
     const usefulUntil = findUsefulEnd(job, 1 - room.demand >= LATE_WORTH);
     return now + waitMs + chainMs > usefulUntil ? 'no-room' : undefined;
   }
 
-  override findRetryMs(job: DispatchJob, view: RoomView): number {
+  override findRetryMs(job: DispatchJob, view: CapacityView): number {
     const room = this.findForecast(job).findState(view);
-    const drainMs = room ? room.waitingWork / room.drain : 0;
+    const drainMs = room ? room.waitingWork / room.serviceRate : 0;
     const soonestMs = Math.min(Math.max(drainMs, RETRY_AFTER_MS), MAX_RETRY_MS - RETRY_SPREAD_MS);
     return Math.round(soonestMs + this.nextRandom() * RETRY_SPREAD_MS);
   }
 
-  override describeForecast(job: DispatchJob, view: RoomView): ForecastFigures | undefined {
+  override describeForecast(job: DispatchJob, view: CapacityView): ForecastFigures | undefined {
     const room = this.findForecast(job).findState(view);
     if (!room) return undefined;
     return {
-      waitMs: Math.round((room.workUntil.get(job) ?? 0) / room.drain),
-      drainCores: Math.round(room.drain / 1_000),
+      waitMs: Math.round((room.workUntil.get(job) ?? 0) / room.serviceRate),
+      drainCores: Math.round(room.serviceRate / 1_000),
       demand: Math.round(room.demand * 100) / 100,
       freeCpu: room.freeCpu,
       ageMs: Math.round(view.now - job.arrivedAt),
@@ -112,26 +112,26 @@
   }
 
   override noteArrived(job: DispatchJob, now: number): void {
-    if (job.submission.steps.every(canRunAnywhere)) this.findForecast(job).noteArrived(job, now);
+    if (job.submission.steps.every(canRunAnywhere)) this.findForecast(job).recordArrived(job, now);
   }
 
   override noteSent(task: DispatchTask): void {
-    this.findForecast(task.job).noteSent(task);
+    this.findForecast(task.job).recordSent(task);
   }
 
   override noteEnded(task: DispatchTask, isDone: boolean, now: number): void {
-    this.findForecast(task.job).noteEnded(task, isDone, now);
+    this.findForecast(task.job).recordEnded(task, isDone, now);
   }
 
   override noteRefused(job: DispatchJob): void {
-    this.findForecast(job).noteDropped();
+    this.findForecast(job).recordDropped();
   }
 
-  private findForecast({ submission }: DispatchJob): RoomForecast {
+  private findForecast({ submission }: DispatchJob): CapacityForecast {
     const { service } = submission.route;
     const known = this.forecasts.get(service);
     if (known) return known;
-    const forecast = new RoomForecast(service);
+    const forecast = new CapacityForecast(service);
     this.forecasts.set(service, forecast);
     return forecast;
   }
--- a/src/process/dispatcher/RoomForecast.ts
+++ b/src/process/dispatcher/CapacityForecast.ts
@@ -3,7 +3,7 @@
  * estimates; a drain is work per ms.
  */
 import type { StepNeed } from '../../request/dispatch/submission.js';
-import type { AgentView } from './AgentView.js';
+import type { ExecutorView } from './ExecutorView.js';
 import { findWork, measureWork } from './dispatchJob.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import { SLOW_SHARE } from './Placement.js';
@@ -20,24 +20,24 @@
 const MAX_COUNTS = 8;
 
 /** What a forecast may know of the dispatcher. */
-export interface RoomView {
+export interface CapacityView {
   readonly now: number;
   readonly typicalSpeed: number;
   /** Age of a ping from which on an agent is not used, ms. */
   readonly staleMs: number;
-  readonly listAgents: () => readonly AgentView[];
+  readonly listExecutors: () => readonly ExecutorView[];
   /** Waiting tasks in the order in which they are offered. */
   readonly listWaiting: () => readonly DispatchTask[];
 }
 
 /** The room at one moment. */
-export interface RoomState {
+export interface CapacityState {
   /** Room of usable agents that nothing takes, thousandths of a core. */
   readonly freeCpu: number;
   /** Work per ms that the room does, free or taken by us. */
-  readonly drain: number;
+  readonly serviceRate: number;
   /** Work per ms that one thousandth of a core does, as measured. */
-  readonly pace: number;
+  readonly throughput: number;
   /** Part of the drain that arriving work asks for. */
   readonly demand: number;
   /** Work that waits, up to the last task of each job. */
@@ -48,7 +48,7 @@
 /** What was measured at one moment. */
 interface MeasuredState {
   readonly now: number;
-  room: RoomState | undefined;
+  room: CapacityState | undefined;
   /** Whether something that waited then is gone. */
   isStale: boolean;
   /** How often it was measured at that moment. */
@@ -56,7 +56,7 @@
 }
 
 /** Forecast for one service. */
-export class RoomForecast {
+export class CapacityForecast {
   private readonly doneWork = new RateMeter(PACE_MS);
   private readonly doneCost = new RateMeter(PACE_MS);
   private readonly arrivals = new RateMeter(ARRIVALS_MS);
@@ -68,23 +68,23 @@
   constructor(private readonly service: string) {}
 
   /** Work per ms that the room was last found to do; 0 while nothing is known. */
-  get lastDrain(): number {
-    return this.state?.room?.drain ?? 0;
+  get lastServiceRate(): number {
+    return this.state?.room?.serviceRate ?? 0;
   }
 
   /** Counts work that callers ask for. */
-  noteArrived(job: DispatchJob, now: number): void {
+  recordArrived(job: DispatchJob, now: number): void {
     this.state = undefined;
     this.arrivals.add(findWork(job), now);
   }
 
   /** An attempt takes room from now on. */
-  noteSent({ agent, need }: DispatchTask): void {
+  recordSent({ agent, need }: DispatchTask): void {
     this.taken.set(agent, (this.taken.get(agent) ?? 0) + need.resources.cpuMilli);
   }
 
   /** An attempt has ended; its agent and the time of its sending are still known. */
-  noteEnded(task: DispatchTask, isDone: boolean, now: number): void {
+  recordEnded(task: DispatchTask, isDone: boolean, now: number): void {
     const { cpuMilli } = task.need.resources;
     const taken = (this.taken.get(task.agent) ?? 0) - cpuMilli;
     if (taken > 0) this.taken.set(task.agent, taken);
@@ -95,7 +95,7 @@
   }
 
   /** A job does not wait any more. */
-  noteDropped(): void {
+  recordDropped(): void {
     if (this.state) this.state.isStale = true;
   }
 
@@ -104,7 +104,7 @@
    *
    * @returns undefined while no agent is usable or too little has ended of late
    */
-  findState(view: RoomView): RoomState | undefined {
+  findState(view: CapacityView): CapacityState | undefined {
     return this.measure(view).room;
   }
 
@@ -113,7 +113,7 @@
    *
    * @returns undefined also when that was measured often enough at this moment
    */
-  findLatestState(view: RoomView): RoomState | undefined {
+  findLatestState(view: CapacityView): CapacityState | undefined {
     const state = this.measure(view);
     if (!state.isStale) return state.room;
     if (state.counts === MAX_COUNTS) return undefined;
@@ -123,20 +123,20 @@
     return state.room;
   }
 
-  private measure(view: RoomView): MeasuredState {
+  private measure(view: CapacityView): MeasuredState {
     if (this.state?.now === view.now) return this.state;
     this.state = { now: view.now, room: this.measureRoom(view), isStale: false, counts: 1 };
     return this.state;
   }
 
-  private measureRoom(view: RoomView): RoomState | undefined {
+  private measureRoom(view: CapacityView): CapacityState | undefined {
     const { now } = view;
     const cost = this.doneCost.read(now);
     if (cost < KNOWN_CPU) return undefined;
     const pace = this.doneWork.read(now) / cost;
     let freeCpu = 0;
     let takenCpu = 0;
-    for (const agent of view.listAgents()) {
+    for (const agent of view.listExecutors()) {
       if (!this.isUsable(agent, view)) continue;
       freeCpu += Math.max(0, agent.free.cpuMilli);
       takenCpu += this.taken.get(agent.id) ?? 0;
@@ -144,10 +144,10 @@
     const drain = (freeCpu + takenCpu) * pace;
     if (drain === 0) return undefined;
     const demand = this.arrivals.read(now) / drain;
-    return { freeCpu, drain, pace, demand, ...this.sumWaiting(view) };
+    return { freeCpu, serviceRate: drain, throughput: pace, demand, ...this.sumWaiting(view) };
   }
 
-  private sumWaiting({ listWaiting }: RoomView): Pick<RoomState, 'workUntil' | 'waitingWork'> {
+  private sumWaiting({ listWaiting }: CapacityView): Pick<CapacityState, 'workUntil' | 'waitingWork'> {
     const workUntil = new Map<DispatchJob, number>();
     let waitingWork = 0;
     for (const task of listWaiting()) {
@@ -158,7 +158,7 @@
     return { workUntil, waitingWork };
   }
 
-  private isUsable(agent: AgentView, { now, staleMs, typicalSpeed }: RoomView): boolean {
+  private isUsable(agent: ExecutorView, { now, staleMs, typicalSpeed }: CapacityView): boolean {
     const { room } = agent;
     if (!room || room.service !== this.service || !agent.isReady(now, staleMs)) return false;
     return room.trust !== 'suspect' && room.speed >= typicalSpeed * SLOW_SHARE;
--- a/src/process/dispatcher/CrashLedger.test.ts
+++ b/src/process/dispatcher/CrashLedger.test.ts
@@ -33,7 +33,7 @@
   });
 
   it('suspects every task that was at a crash', () => {
-    for (let index = 0; index < 3; index += 1) ledger.noteCrash(buildTask(index), buildCrash(), FLEET, 0);
+    for (let index = 0; index < 3; index += 1) ledger.recordCrash(buildTask(index), buildCrash(), FLEET, 0);
     expect([0, 1, 2, 3].map((index) => ledger.isSuspect(buildTask(index)))).to.deep.equal([
       true,
       true,
@@ -44,51 +44,51 @@
   });
 
   it('condemns a task under which the limit of upstreams has crashed while it was isolated', () => {
-    ledger.noteCrash(TASK, buildCrash({ agent: 'a' }), FLEET, 0);
-    ledger.noteCrash(TASK, buildCrash({ agent: 'b', isIsolated: true }), FLEET, APART_MS);
+    ledger.recordCrash(TASK, buildCrash({ agent: 'a' }), FLEET, 0);
+    ledger.recordCrash(TASK, buildCrash({ agent: 'b', isIsolated: true }), FLEET, APART_MS);
     expect(ledger.isCondemned(TASK)).to.equal(false);
-    ledger.noteCrash(TASK, buildCrash({ agent: 'c', isIsolated: true }), FLEET, 2 * APART_MS);
+    ledger.recordCrash(TASK, buildCrash({ agent: 'c', isIsolated: true }), FLEET, 2 * APART_MS);
     expect(ledger.isCondemned(TASK)).to.equal(true);
     expect(ledger.listCondemned('job')).to.have.length(1);
   });
 
   it('clears a task that is done', () => {
-    ledger.noteCrash(TASK, buildCrash(), FLEET, 0);
+    ledger.recordCrash(TASK, buildCrash(), FLEET, 0);
     expect(ledger.release(TASK)).to.equal(true);
     expect([ledger.isSuspect(TASK), ledger.size, ledger.release(TASK)]).to.deep.equal([false, 0, false]);
   });
 
   it('blames nobody for crashes of a failure domain that come together', () => {
     for (const [at, agent] of ['a', 'b', 'c', 'd'].entries())
-      ledger.noteCrash(buildTask(at), buildCrash({ agent, isIsolated: true }), FLEET, at * 300);
+      ledger.recordCrash(buildTask(at), buildCrash({ agent, isIsolated: true }), FLEET, at * 300);
     expect([0, 1, 2, 3].filter((index) => ledger.isSuspect(buildTask(index)))).to.deep.equal([]);
   });
 
   it('blames nobody for crashes all over that come together', () => {
     for (const [at, agent] of ['a', 'b', 'c', 'd', 'e', 'f'].entries())
-      ledger.noteCrash(buildTask(at), buildCrash({ agent, failureDomain: agent }), FLEET, at * 200);
+      ledger.recordCrash(buildTask(at), buildCrash({ agent, failureDomain: agent }), FLEET, at * 200);
     expect([0, 1, 2, 3, 4, 5].filter((index) => ledger.isSuspect(buildTask(index)))).to.deep.equal([]);
   });
 
   it('blames nobody where many upstreams are down, though few crashes were told here', () => {
-    ledger.noteCrash(TASK, buildCrash({ isIsolated: true }), { ...FLEET, down: 6 }, 0);
-    ledger.noteCrash(buildTask(1), buildCrash({ agent: 'b' }), { ...FLEET, downInDomain: 3 }, 5_000);
+    ledger.recordCrash(TASK, buildCrash({ isIsolated: true }), { ...FLEET, down: 6 }, 0);
+    ledger.recordCrash(buildTask(1), buildCrash({ agent: 'b' }), { ...FLEET, downInDomain: 3 }, 5_000);
     expect([ledger.isSuspect(TASK), ledger.isSuspect(buildTask(1))]).to.deep.equal([false, false]);
   });
 
   it('never tells figures below 0, also when another dispatcher has withdrawn the same crash', () => {
-    ledger.noteCrash(TASK, buildCrash({ isIsolated: true }), FLEET, 0);
+    ledger.recordCrash(TASK, buildCrash({ isIsolated: true }), FLEET, 0);
     const told = { ...TASK, revision: 9, crashes: 1, blames: 0, proofs: 0 };
     ledger.adopt([told], 100);
-    ledger.noteCrash(buildTask(1), buildCrash({ agent: 'b' }), { ...FLEET, down: 6 }, 200);
+    ledger.recordCrash(buildTask(1), buildCrash({ agent: 'b' }), { ...FLEET, down: 6 }, 200);
     for (const { blames, proofs } of ledger.list()) expect([blames, proofs]).to.deep.equal([0, 0]);
   });
 
   it('forgets others before a task under which many upstreams have crashed', () => {
-    for (let at = 0; at < LIMIT; at += 1) ledger.noteCrash(TASK, buildCrash(), FLEET, at * APART_MS);
+    for (let at = 0; at < LIMIT; at += 1) ledger.recordCrash(TASK, buildCrash(), FLEET, at * APART_MS);
     for (let index = 0; index < 1_200; index += 1) {
       const name = { job: `other${index}`, step: 0, index: 0 };
-      ledger.noteCrash(name, buildCrash({ agent: 'z' }), FLEET, 10_000 + index);
+      ledger.recordCrash(name, buildCrash({ agent: 'z' }), FLEET, 10_000 + index);
     }
     expect(ledger.countCrashes(TASK)).to.equal(LIMIT);
   });
@@ -97,21 +97,21 @@
     for (let count = 0; count < LIMIT + 2; count += 1) {
       expect(ledger.isCondemned(TASK)).to.equal(false);
       for (const agent of ['b', 'c', 'd'])
-        ledger.noteCrash(buildTask(9), buildCrash({ agent }), FLEET, count * APART_MS);
-      ledger.noteCrash(TASK, buildCrash({ agent: 'a' }), FLEET, count * APART_MS);
+        ledger.recordCrash(buildTask(9), buildCrash({ agent }), FLEET, count * APART_MS);
+      ledger.recordCrash(TASK, buildCrash({ agent: 'a' }), FLEET, count * APART_MS);
     }
     expect(ledger.isCondemned(TASK)).to.equal(true);
   });
 
   it('takes a crash after a long run for no proof', () => {
     const crash = buildCrash({ isIsolated: true, ranMs: 4_000 });
-    for (let at = 0; at < LIMIT; at += 1) ledger.noteCrash(TASK, crash, FLEET, at * APART_MS);
+    for (let at = 0; at < LIMIT; at += 1) ledger.recordCrash(TASK, crash, FLEET, at * APART_MS);
     expect(ledger.isCondemned(TASK)).to.equal(false);
   });
 
   it('tells other dispatchers what it has counted, once, and they tell it on', () => {
     const crash = buildCrash({ isIsolated: true });
-    for (let at = 0; at < LIMIT; at += 1) ledger.noteCrash(TASK, crash, FLEET, at * APART_MS);
+    for (let at = 0; at < LIMIT; at += 1) ledger.recordCrash(TASK, crash, FLEET, at * APART_MS);
     const news = ledger.takeNews();
     expect(ledger.takeNews()).to.deep.equal([]);
     const other = new CrashLedger(LIMIT);
@@ -123,17 +123,17 @@
 
   it('goes on counting from what another dispatcher has told', () => {
     const crash = buildCrash({ isIsolated: true });
-    ledger.noteCrash(TASK, crash, FLEET, 0);
+    ledger.recordCrash(TASK, crash, FLEET, 0);
     const other = new CrashLedger(LIMIT);
     other.adopt(ledger.takeNews(), 0);
-    other.noteCrash(TASK, crash, FLEET, APART_MS);
+    other.recordCrash(TASK, crash, FLEET, APART_MS);
     expect(other.isCondemned(TASK)).to.equal(true);
   });
 
   it('remembers for a time, and so many', () => {
     for (let index = 0; index < 1_200; index += 1) {
       const name = { job: `job${index}`, step: 0, index: 0 };
-      ledger.noteCrash(name, buildCrash(), FLEET, index);
+      ledger.recordCrash(name, buildCrash(), FLEET, index);
     }
     expect(ledger.size).to.equal(1_000);
     ledger.tick(40_000);
@@ -142,7 +142,7 @@
 
   it('counts nothing without a limit', () => {
     const off = new CrashLedger(0);
-    off.noteCrash(TASK, buildCrash({ isIsolated: true }), FLEET, 0);
+    off.recordCrash(TASK, buildCrash({ isIsolated: true }), FLEET, 0);
     expect([off.size, off.isSuspect(TASK), off.takeNews().length]).to.deep.equal([0, false, 0]);
   });
 });
--- a/src/process/dispatcher/CrashLedger.ts
+++ b/src/process/dispatcher/CrashLedger.ts
@@ -122,12 +122,12 @@
    * @param now - monotonic time, ms
    * @returns whether the task is blamed; false if many have crashed together
    */
-  noteCrash(name: TaskName, crash: TaskCrash, fleet: Fleet, now: number): boolean {
+  recordCrash(name: TaskName, crash: TaskCrash, fleet: Fleet, now: number): boolean {
     if (this.limit === 0) return false;
     const suspect = this.find(name) ?? this.add(name, now);
     suspect.crashes += 1;
     this.change(suspect, now);
-    const recent = this.noteRecent(crash, now);
+    const recent = this.recordRecent(crash, now);
     if (this.isTogether(crash.failureDomain, fleet)) {
       this.withdrawBlames(now);
       return false;
@@ -185,7 +185,7 @@
   }
 
   /** Crashes of one upstream under several tasks are one. */
-  private noteRecent({ agent, failureDomain }: TaskCrash, now: number): RecentCrash {
+  private recordRecent({ agent, failureDomain }: TaskCrash, now: number): RecentCrash {
     this.recent = this.recent.filter(({ at }) => now - at <= TOGETHER_MS);
     const known = this.recent.find((one) => one.agent === agent);
     if (known) return known;
--- a/src/process/dispatcher/Dispatcher.test.ts
+++ b/src/process/dispatcher/Dispatcher.test.ts
@@ -3,10 +3,10 @@
 import { ROUTE, STEP as ONE_TASK, WIDE_LIMITS } from '../../../test/fakes/dispatchFixtures.js';
 import { FakeCaller } from '../../../test/fakes/FakeCaller.js';
 import type {
-  AgentHello,
+  ExecutorHello,
   AttemptEnd,
-  EntryMessage,
-  RoomReport,
+  DispatcherMessage,
+  CapacityReport,
   StartOrder,
 } from '../../connection/peer/peerMessages.js';
 import { JobBounds } from '../../request/dispatch/JobBounds.js';
@@ -24,7 +24,7 @@
 }
 
 class Bench {
-  readonly sent: { agent: string; message: EntryMessage }[] = [];
+  readonly sent: { agent: string; message: DispatcherMessage }[] = [];
   readonly caller = new FakeCaller();
   readonly dispatcher = new Dispatcher(
     {
@@ -41,7 +41,7 @@
     },
   );
 
-  link(agent: string, now: number, change: Partial<AgentHello> = {}): string {
+  link(agent: string, now: number, change: Partial<ExecutorHello> = {}): string {
     const base = { failureDomain: 'x', holding: [], results: [], entryLife: 'me', orphanMs: ORPHAN_MS };
     return this.dispatcher.handleHello(
       { type: 'agent-hello', agent, life: '1', ...base, ...change },
@@ -50,10 +50,10 @@
     );
   }
 
-  ping(id: string, now: number, change: Partial<RoomReport> = {}): void {
+  ping(id: string, now: number, change: Partial<CapacityReport> = {}): void {
     const capacity = { cpuMilli: 4_000, memoryMb: 1_000, gpus: 0 };
     const upstream = `of-${id.split('@')[0]}`;
-    const room: RoomReport = {
+    const room: CapacityReport = {
       description: { upstream, service: 'service', labels: [], capacity },
       state: 'ready',
       trust: 'healthy',
@@ -308,7 +308,7 @@
       bench.dispatcher.setEmptied(['north']);
       const later = bench.link('a2', 0, { failureDomain: 'north' });
       bench.ping(later, 0);
-      expect(bench.dispatcher.hasAgents(0)).to.equal(false);
+      expect(bench.dispatcher.hasExecutors(0)).to.equal(false);
       bench.submit(0, { patienceMs: 300 });
       bench.dispatcher.tick(250);
       expect(bench.starts).to.deep.equal([]);
--- a/src/process/dispatcher/Dispatcher.ts
+++ b/src/process/dispatcher/Dispatcher.ts
@@ -7,25 +7,25 @@
  */
 import { assertInvariant } from '../../_lib/assertInvariant.js';
 import type {
-  AgentHello,
+  ExecutorHello,
   AttemptProgress,
   AttemptResult,
   CrashedTask,
-  EntryMessage,
+  DispatcherMessage,
   Ping,
-  RoomChange,
+  CapacityChange,
   SuspectTask,
 } from '../../connection/peer/peerMessages.js';
 import { UPSTREAM_CRASHED } from '../../connection/peer/peerMessages.js';
 import type { Caller, JobState } from '../../ports/CallerGateway.js';
 import type { JobBounds } from '../../request/dispatch/JobBounds.js';
 import type { JobOutcome, JobSubmission } from '../../request/dispatch/submission.js';
-import { PatienceAdmission, RETRY_AFTER_MS } from './Admission.js';
+import { CallerTimeoutAdmission, RETRY_AFTER_MS } from './Admission.js';
 import type { Admission } from './Admission.js';
 import type { QueueRoute } from '../../version/configuration.js';
-import { AgentTable } from './AgentTable.js';
-import { buildAgentId } from './AgentView.js';
-import type { AgentView } from './AgentView.js';
+import { ExecutorTable } from './ExecutorTable.js';
+import { buildExecutorId } from './ExecutorView.js';
+import type { ExecutorView } from './ExecutorView.js';
 import { Backlog } from './Backlog.js';
 import { buildAttemptName, createDispatchJob, isOut, stepTask } from './dispatchJob.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
@@ -34,7 +34,7 @@
 import type { Submission } from './JobTable.js';
 import { needsMove } from './needsMove.js';
 import type { Placement, PlacementContext } from './Placement.js';
-import type { RoomView } from './RoomForecast.js';
+import type { CapacityView } from './CapacityForecast.js';
 import type { SendWindow } from './SendWindow.js';
 import { Suspects } from './Suspects.js';
 import type { TaskOrder } from './TaskOrder.js';
@@ -61,7 +61,7 @@
 
 /** What the dispatcher has its process do. */
 export interface DispatchEffects {
-  readonly send: (agent: string, message: EntryMessage) => void;
+  readonly send: (agent: string, message: DispatcherMessage) => void;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
   /** A job got its answer. */
   readonly noteOutcome: (job: DispatchJob, outcome: JobOutcome, now: number) => void;
@@ -85,7 +85,7 @@
 
 /** Dispatches the jobs of one entry. */
 export class Dispatcher {
-  private readonly agents: AgentTable;
+  private readonly agents: ExecutorTable;
   private readonly jobs = new JobTable();
   private readonly admission: Admission;
   private readonly backlog: Backlog;
@@ -100,10 +100,10 @@
     private readonly options: DispatchOptions,
     private readonly effects: DispatchEffects,
   ) {
-    this.agents = new AgentTable(options.pingMs * STALE_PINGS);
+    this.agents = new ExecutorTable(options.pingMs * STALE_PINGS);
     const { crashLimit = 0, placement } = options;
     this.suspects = new Suspects(crashLimit, placement, this.agents, effects.log);
-    this.admission = options.admission ?? new PatienceAdmission();
+    this.admission = options.admission ?? new CallerTimeoutAdmission();
     this.backlog = new Backlog(options.order);
   }
 
@@ -138,7 +138,7 @@
   }
 
   /** Whether an agent of any service is linked and takes work. */
-  hasAgents(now: number): boolean {
+  hasExecutors(now: number): boolean {
     return this.agents.hasReady(now);
   }
 
@@ -197,8 +197,8 @@
    *
    * @returns the id by which the dispatcher knows this life of the agent
    */
-  handleHello(hello: AgentHello, ownLife: string, now: number): string {
-    const id = buildAgentId(hello);
+  handleHello(hello: ExecutorHello, ownLife: string, now: number): string {
+    const id = buildExecutorId(hello);
     const known = this.agents.find(id);
     this.agents.unlinkOthers(hello);
     if (!known) {
@@ -236,19 +236,19 @@
     if (!agent) return;
     // The greeting of an earlier life that was held up had this one count as gone; its pings come on an open link.
     agent.linked = true;
-    agent.notePing(ping, now);
-    if (ping.echoMs !== undefined) this.options.window.noteDelay(agent.noteEcho(ping.echoMs));
-    this.expireEarlierLives(agent, now);
+    agent.recordPing(ping, now);
+    if (ping.echoMs !== undefined) this.options.window.noteDelay(agent.recordRoundTrip(ping.echoMs));
+    this.expireEarlierIncarnations(agent, now);
     for (const progress of ping.progress ?? []) this.reviewProgress(agent, progress, now);
   }
 
   /** Takes room that changed between pings. */
-  handleRoom(agentId: string, { room, at }: RoomChange, now: number): void {
+  handleCapacity(agentId: string, { room, at }: CapacityChange, now: number): void {
     const agent = this.agents.find(agentId);
     if (!agent) return;
     agent.heardAt = now;
-    agent.noteClock(at, now);
-    agent.noteRoom(room, now);
+    agent.recordClock(at, now);
+    agent.recordCapacity(room, now);
   }
 
   /** Takes the end of an attempt. */
@@ -272,7 +272,7 @@
     if (this.backlog.size === 0) return;
     const context = this.buildContext(now);
     const agents = this.agents.list();
-    let onTheWay = this.agents.sumBytesOnTheWay(now);
+    let onTheWay = this.agents.sumBytesInFlight(now);
     let smallestMissed = Infinity;
     let smallestSuspectMissed = Infinity;
     for (const task of this.backlog.list(now, this.typicalSpeed)) {
@@ -294,8 +294,8 @@
   tick(now: number): void {
     this.agents.updateSpeed();
     this.suspects.tick(now);
-    for (const agent of this.agents.list()) this.expireAgent(agent, now);
-    const view = this.buildRoomView(now);
+    for (const agent of this.agents.list()) this.expireExecutor(agent, now);
+    const view = this.buildCapacityView(now);
     for (const job of this.jobs.list()) this.reviewJob(job, view);
     for (const [id, { deadlineAt, caller }] of [...this.jobs.successors]) {
       if (now < deadlineAt - ANSWER_MARGIN_MS) continue;
@@ -314,7 +314,7 @@
 
   /** An agent tells of crashes under tasks of a dispatcher that does not answer any more. */
   handleCrashes(agentId: string, tasks: readonly CrashedTask[], now: number): void {
-    for (const task of tasks) this.suspects.noteCrash(agentId, task, now);
+    for (const task of tasks) this.suspects.recordCrash(agentId, task, now);
     for (const { job } of tasks) this.reviewCrashes(job, now);
   }
 
@@ -339,26 +339,26 @@
     this.admission.noteArrived(job, now);
     if (job.left === 0) return this.endJob(job, { kind: 'completed' }, now);
     this.reviewCrashes(job.id, now);
-    this.reviewJob(job, this.buildRoomView(now));
+    this.reviewJob(job, this.buildCapacityView(now));
   }
 
   /** Gives a job up if it cannot be served any more. */
-  private reviewJob(job: DispatchJob, view: RoomView): void {
+  private reviewJob(job: DispatchJob, view: CapacityView): void {
     const reason = job.answered ? undefined : this.admission.findReason(job, view);
     if (reason !== undefined) this.giveUp(job, reason, view.now);
   }
 
-  private buildRoomView(now: number): RoomView {
+  private buildCapacityView(now: number): CapacityView {
     const { typicalSpeed, staleMs } = this.agents;
     const listWaiting = (): DispatchTask[] => {
       this.backlog.prune();
       return this.backlog.list(now, typicalSpeed);
     };
-    return { now, typicalSpeed, staleMs, listAgents: () => this.agents.list(), listWaiting };
+    return { now, typicalSpeed, staleMs, listExecutors: () => this.agents.list(), listWaiting };
   }
 
   /** Sends a start, and returns how many bytes it takes. */
-  private send(task: DispatchTask, agent: AgentView, now: number): number {
+  private send(task: DispatchTask, agent: ExecutorView, now: number): number {
     const { job, need } = task;
     const isMerged = job.lastAgent === agent.id && job.lastSentAt === now;
     const bytes = isMerged ? MERGED_START_BYTES : START_BYTES + job.submission.spec.length;
@@ -367,7 +367,7 @@
     task.attempt = this.attempts;
     task.agent = agent.id;
     task.sentAt = now;
-    this.suspects.noteSent(task);
+    this.suspects.recordSent(task);
     this.backlog.noteSent(task, now);
     this.admission.noteSent(task);
     job.offered = true;
@@ -399,7 +399,7 @@
     const { job } = task;
     assertInvariant(isOut(task), 'only an attempt that is out can end');
     if (end !== 'not-run') job.begun = true;
-    this.suspects.noteEnd(task, end, reason, now);
+    this.suspects.recordEnd(task, end, reason, now);
     if (end !== 'done') {
       const { attempt, agent } = task;
       this.effects.log('attempt-over', {
@@ -431,7 +431,7 @@
     const job = this.jobs.findOpen(jobId);
     const condemned = job && this.suspects.findCondemned(jobId);
     if (!condemned) return;
-    this.suspects.noteFailed(condemned);
+    this.suspects.recordFailed(condemned);
     this.endJob(job, { kind: 'failed', reason: 'crashes' }, now);
   }
 
@@ -490,7 +490,7 @@
     if (job.answered) return;
     const mayHaveRun = job.begun || job.out > 0;
     if (mayHaveRun) return this.endJob(job, { kind: 'interrupted', reason }, now);
-    const view = this.buildRoomView(now);
+    const view = this.buildCapacityView(now);
     const figures = this.admission.describeForecast(job, view);
     if (figures) this.effects.log('refuse', { job: job.id, reason, ...figures });
     const retryAfterMs = this.admission.findRetryMs(job, view);
@@ -499,23 +499,23 @@
   }
 
   /** Nothing of ours can run at an agent that has not been heard for so long. */
-  private expireAgent(agent: AgentView, now: number): void {
+  private expireExecutor(agent: ExecutorView, now: number): void {
     if (now <= agent.heardAt + agent.orphanMs) return;
     for (const task of this.jobs.listTasksAt(agent.id)) this.settle(task, 'lost', 'agent-silent', now);
     this.agents.forgetIfGone(agent, now);
   }
 
   /** A life of an agent takes work only after it has stopped, and fenced, what earlier lives had started. */
-  private expireEarlierLives(agent: AgentView, now: number): void {
+  private expireEarlierIncarnations(agent: ExecutorView, now: number): void {
     if (agent.room?.state !== 'ready') return;
-    for (const earlier of this.agents.listOtherLives(agent)) {
+    for (const earlier of this.agents.listOtherIncarnations(agent)) {
       for (const task of this.jobs.listTasksAt(earlier.id)) this.settle(task, 'lost', 'agent-replaced', now);
       this.agents.delete(earlier.id);
     }
   }
 
   /** Moves a task that stands still or crawls, if it can be in time elsewhere. */
-  private reviewProgress(agent: AgentView, progress: AttemptProgress, now: number): void {
+  private reviewProgress(agent: ExecutorView, progress: AttemptProgress, now: number): void {
     const { name, percent, stalledMs } = progress;
     const task = this.jobs.findTask(name);
     if (!task || task.phase !== 'sent' || task.attempt !== name.attempt || task.agent !== agent.id) return;
@@ -533,7 +533,7 @@
     this.withdraw(task);
   }
 
-  private hasOtherPlace(task: DispatchTask, from: AgentView, now: number): boolean {
+  private hasOtherPlace(task: DispatchTask, from: ExecutorView, now: number): boolean {
     const others = this.agents.list().filter((agent) => agent !== from);
     const placement = this.findPlacement(this.suspects.has(task));
     return placement.choose(task, others, this.buildContext(now)) !== undefined;
@@ -549,7 +549,7 @@
   }
 
   /** Brings what we have at an agent and what it holds for us together: orders and results may have been lost. */
-  private compareHeld(id: string, hello: AgentHello, now: number): void {
+  private compareHeld(id: string, hello: ExecutorHello, now: number): void {
     for (const result of hello.results) this.handleResult(id, result, now);
     const holding = new Set(hello.holding.map((name) => buildAttemptKey(name)));
     for (const task of this.jobs.listTasksAt(id)) {
--- a/src/process/dispatcher/DispatcherDaemon.ts
+++ b/src/process/dispatcher/DispatcherDaemon.ts
@@ -7,11 +7,11 @@
 import { PeerListener } from '../../connection/peer/PeerListener.js';
 import type {
   AttemptResult,
-  EntryPlace,
+  DispatcherPlace,
   PeerMessage,
   SuspectTask,
 } from '../../connection/peer/peerMessages.js';
-import type { Caller, CallerGateway, JobDesk, JobState } from '../../ports/CallerGateway.js';
+import type { Caller, CallerGateway, JobService, JobState } from '../../ports/CallerGateway.js';
 import type { ConfigurationSource } from '../../ports/ConfigurationSource.js';
 import type { JobOutcome, JobSubmission } from '../../request/dispatch/submission.js';
 import type { Configuration } from '../../version/configuration.js';
@@ -19,21 +19,21 @@
 import { createDaemonClock } from '../createDaemonClock.js';
 import { createIncarnation } from '../createIncarnation.js';
 import { deriveDispatchTimes } from '../dispatchTimes.js';
-import { LogBudget } from '../LogBudget.js';
+import { LogRateLimiter } from '../LogRateLimiter.js';
 import { createLogSink } from '../createLogSink.js';
 import { createLogger } from '../logger.js';
 import type { LogFields, ProcessLogger } from '../logger.js';
 import { MemberTable } from '../MemberTable.js';
 import { OperatorExchange } from '../OperatorExchange.js';
-import type { WordSource } from '../OperatorExchange.js';
-import { noteFailure } from '../failures.js';
+import type { UpdateSource } from '../OperatorExchange.js';
+import { logFailure } from '../failures.js';
 import { PauseGuard } from '../PauseGuard.js';
 import { ServedMetrics } from '../ServedMetrics.js';
 import type { DispatchSettings } from '../settings/dispatchSettings.js';
 import { startTimer } from '../startTimer.js';
 import { roundSpeed } from '../roundSpeed.js';
 import { JobBounds } from '../../request/dispatch/JobBounds.js';
-import { buildAgentId } from './AgentView.js';
+import { buildExecutorId } from './ExecutorView.js';
 import { Dispatcher } from './Dispatcher.js';
 import { findChainMs, findWork } from './dispatchJob.js';
 import type { DispatchJob } from './dispatchJob.js';
@@ -42,7 +42,7 @@
 import { createPlacement } from './createPlacement.js';
 import { createSendWindow } from './createSendWindow.js';
 import { createTaskOrder } from './createTaskOrder.js';
-import { EntryPeers } from './EntryPeers.js';
+import { DispatcherPeers } from './DispatcherPeers.js';
 
 /** Between two looks at deadlines and silent agents, ms. */
 const TICK_MS = 40;
@@ -73,22 +73,22 @@
 }
 
 /** An entry process. */
-export class DispatcherDaemon implements JobDesk {
+export class DispatcherDaemon implements JobService {
   private readonly clock = createDaemonClock((event, fields) => this.logDecision(event, fields));
   private readonly life: string;
-  private readonly place: EntryPlace;
+  private readonly place: DispatcherPlace;
   private readonly logger: ProcessLogger;
   private readonly metrics: ServedMetrics;
   private readonly dispatcher: Dispatcher;
   private readonly listener: PeerListener;
-  private readonly peers: EntryPeers;
+  private readonly peers: DispatcherPeers;
   private readonly members = new MemberTable();
   private readonly exchange: OperatorExchange;
   private readonly pauseGuard: PauseGuard;
   private readonly channels = new Map<string, LineChannel>();
   private readonly agentIds = new Map<LineChannel, string>();
   private readonly entryChannels = new Set<LineChannel>();
-  private readonly placeLines = new LogBudget(PLACE_LINES_PER_S);
+  private readonly placeLines = new LogRateLimiter(PLACE_LINES_PER_S);
   private leavingAt: number | undefined;
   private placing = false;
   private demandToldAt = -Infinity;
@@ -143,21 +143,21 @@
     this.metrics = new ServedMetrics(settings.metricsAddress, buildDispatcherMetrics(gauges));
     this.pauseGuard = new PauseGuard(this.clock.now(), (gapMs) => {
       this.logger.warn('paused', { gapMs: Math.round(gapMs), openJobs: this.dispatcher.openJobs });
-      this.peers.notePause();
+      this.peers.handlePause();
       if (gapMs > orphanAfterMs) this.dispatcher.endAll('paused', this.clock.now());
     });
     this.listener = new PeerListener({
       receive: (channel, message) => this.receive(channel, message),
       close: (channel, reason) => this.closeChannel(channel, reason),
     });
-    this.peers = new EntryPeers(
+    this.peers = new DispatcherPeers(
       { id: settings.id, place: this.place, linkPort },
       this.exchange,
       this.clock,
       {
-        noteMembers: (entries) => this.noteMembers(entries, this.clock.now()),
-        noteSuspects: (tasks) => this.adoptSuspects(tasks),
-        greet: (channel) => this.greetWithSuspects(channel),
+        recordMembers: (entries) => this.noteMembers(entries, this.clock.now()),
+        recordSuspects: (tasks) => this.adoptSuspects(tasks),
+        sendFirstMessages: (channel) => this.greetWithSuspects(channel),
         log: (event, fields) => this.logger.info(event, fields),
       },
       nextRandom,
@@ -170,7 +170,7 @@
 
   get isReady(): boolean {
     if (this.leavingAt !== undefined || !this.configuration) return false;
-    return this.dispatcher.hasAgents(this.clock.now());
+    return this.dispatcher.hasExecutors(this.clock.now());
   }
 
   get isLeaving(): boolean {
@@ -191,12 +191,12 @@
       changeDomain: (change) => {
         if (this.isKnownDomain(change.domain)) this.exchange.changeDomain(change, 'store');
       },
-      noteFindings: (subject, findings) => {
+      reportFindings: (subject, findings) => {
         this.logger.warn(`${subject}-rejected`, { findings, ...this.exchange.versions });
       },
-      note: (state, detail) => this.logger.warn('store', { state, detail }),
+      reportState: (state, detail) => this.logger.warn('store', { state, detail }),
     });
-    this.peers.noteSeeds(this.settings.seeds);
+    this.peers.recordSeeds(this.settings.seeds);
     this.metrics.start();
     startTimer(this.logger, 'tick', TICK_MS, () => this.turn((now) => this.dispatcher.tick(now)));
     startTimer(this.logger, 'peers', PEER_PING_MS, () => this.peers.ping());
@@ -207,7 +207,7 @@
   reload(settings: DispatchSettings): void {
     this.logger.info('reloaded', { seeds: settings.seeds });
     this.settings = settings;
-    this.peers.noteSeeds(settings.seeds);
+    this.peers.recordSeeds(settings.seeds);
   }
 
   /** Stops as planned: takes jobs until the balancer has noticed, answers all, and returns. */
@@ -248,7 +248,8 @@
         changeConfiguration: (configuration, before, from) =>
           this.applyConfiguration(configuration, before, from),
         changeEmptied: (emptied, from) => this.applyEmptied(emptied, from),
-        noteFault: (version, problem) => this.logDecision('configuration-unavailable', { version, problem }),
+        recordFault: (version, problem) =>
+          this.logDecision('configuration-unavailable', { version, problem }),
       },
       { usesRoutes: true, linkMbps, timeline: new ClockTimeline(this.clock), nextRandom },
     );
@@ -266,15 +267,15 @@
     return leavingAt + this.settings.graceSeconds * 1_000 - END_MARGIN_MS;
   }
 
-  noteRejected(jobId: string, status: number, reason: string): void {
+  recordRejected(jobId: string, status: number, reason: string): void {
     this.metrics.increment('dispatcher_answers', { outcome: 'rejected', reason });
     const { version } = this.exchange.versions;
     this.logger.info('reject', { job: jobId, status, reason, version });
   }
 
-  noteFailure(call: string, error: unknown): void {
+  recordFailure(call: string, error: unknown): void {
     this.metrics.increment('dispatcher_answers', { outcome: 'failed', reason: 'error' });
-    noteFailure(this.logger, 'call-failed', { call }, error);
+    logFailure(this.logger, 'call-failed', { call }, error);
   }
 
   abandon(jobId: string, caller: Caller): void {
@@ -287,7 +288,7 @@
 
   cancel(jobId: string): boolean {
     const now = this.clock.now();
-    this.pauseGuard.look(now);
+    this.pauseGuard.update(now);
     return this.dispatcher.cancel(jobId, now);
   }
 
@@ -298,7 +299,7 @@
   /** Takes one input, and places once all inputs at hand are taken. */
   private turn(input: (now: number) => void): void {
     const now = this.clock.now();
-    this.pauseGuard.look(now);
+    this.pauseGuard.update(now);
     if (this.pauseGuard.isCatchingUp) setImmediate(() => this.turn(input));
     else input(now);
     this.schedulePlacing();
@@ -310,7 +311,7 @@
     setImmediate(() => {
       this.placing = false;
       const now = this.clock.now();
-      this.pauseGuard.look(now);
+      this.pauseGuard.update(now);
       if (this.pauseGuard.isCatchingUp) return this.schedulePlacing();
       this.dispatcher.place(now);
       this.tellDemand(now);
@@ -332,7 +333,7 @@
     if (tasks.length === 0) return;
     const notice = { type: 'suspects', tasks } as const;
     for (const channel of this.entryChannels) channel.send(notice);
-    this.peers.tell(notice);
+    this.peers.sendNotice(notice);
   }
 
   private adoptSuspects(tasks: readonly SuspectTask[]): void {
@@ -341,7 +342,7 @@
 
   private receive(channel: LineChannel, message: PeerMessage): void {
     const now = this.clock.now();
-    this.pauseGuard.look(now);
+    this.pauseGuard.update(now);
     if (message.type === 'ping') {
       const typicalSpeed = roundSpeed(this.dispatcher.typicalSpeed);
       const { versions } = this.exchange;
@@ -365,7 +366,7 @@
     const agent = this.agentIds.get(channel);
     if (agent === undefined) return;
     if (message.type === 'ping') this.dispatcher.handlePing(agent, message, now);
-    if (message.type === 'room') this.dispatcher.handleRoom(agent, message, now);
+    if (message.type === 'room') this.dispatcher.handleCapacity(agent, message, now);
     if (message.type === 'crashes') this.dispatcher.handleCrashes(agent, message.tasks, now);
     if (message.type === 'result') this.takeResult(agent, message, now);
   }
@@ -381,7 +382,7 @@
     hello: Extract<PeerMessage, { type: 'agent-hello' }>,
     now: number,
   ): void {
-    const id = buildAgentId(hello);
+    const id = buildExecutorId(hello);
     const before = this.channels.get(id);
     this.channels.set(id, channel);
     this.agentIds.set(channel, id);
@@ -393,10 +394,10 @@
     this.dispatcher.handleHello(hello, this.life, now);
   }
 
-  private welcomeEntry(channel: LineChannel, place: EntryPlace, now: number): void {
+  private welcomeEntry(channel: LineChannel, place: DispatcherPlace, now: number): void {
     this.entryChannels.add(channel);
     this.noteMembers([place], now);
-    this.exchange.tell(channel);
+    this.exchange.sendVersions(channel);
     this.greetWithSuspects(channel);
   }
 
@@ -407,7 +408,7 @@
 
   private closeChannel(channel: LineChannel, reason: string): void {
     this.entryChannels.delete(channel);
-    this.exchange.noteClosed(channel);
+    this.exchange.handleClosed(channel);
     const id = this.agentIds.get(channel);
     this.agentIds.delete(channel);
     if (id === undefined) this.logger.info('link-closed', { reason });
@@ -424,14 +425,14 @@
     return false;
   }
 
-  private applyConfiguration(configuration: Configuration, before: number, from: WordSource): void {
+  private applyConfiguration(configuration: Configuration, before: number, from: UpdateSource): void {
     this.ports.gateway.applyConfiguration(configuration);
     this.logger.info('configuration', { version: configuration.version, before, from });
     this.tellPeers();
   }
 
   /** Nothing more is placed in these failure domains; what runs there runs on. */
-  private applyEmptied({ domains, revision }: EmptiedDomains, from: WordSource): void {
+  private applyEmptied({ domains, revision }: EmptiedDomains, from: UpdateSource): void {
     this.logger.info('emptied-domains', { emptied: domains, revision, from });
     this.turn(() => this.dispatcher.setEmptied(domains));
     this.tellPeers();
@@ -439,12 +440,12 @@
 
   /** Other entries hear at once of what is new. */
   private tellPeers(): void {
-    for (const channel of this.entryChannels) this.exchange.tell(channel);
+    for (const channel of this.entryChannels) this.exchange.sendVersions(channel);
   }
 
-  private noteMembers(places: readonly EntryPlace[], now: number): void {
+  private noteMembers(places: readonly DispatcherPlace[], now: number): void {
     const others = places.filter(({ address }) => address !== this.place.address);
-    const fresh = this.members.note(others, now);
+    const fresh = this.members.record(others, now);
     if (fresh.length === 0) return;
     this.logger.info('members', { fresh: fresh.map(({ address }) => address) });
     this.tellMembers(fresh);
@@ -452,11 +453,11 @@
 
   /** Some members in turn: a message must not grow with the fleet. */
   private tellSomeMembers(): void {
-    this.tellMembers([this.place, ...this.members.takeTurn(MEMBERS_TOLD, this.clock.now())]);
+    this.tellMembers([this.place, ...this.members.selectNext(MEMBERS_TOLD, this.clock.now())]);
   }
 
   /** Agents are told of entries; entries learn from agents, which tell only of those that answer them. */
-  private tellMembers(entries: readonly EntryPlace[]): void {
+  private tellMembers(entries: readonly DispatcherPlace[]): void {
     for (const channel of this.channels.values()) channel.send({ type: 'members', entries });
   }
 
--- a/src/process/dispatcher/EntryPeers.test.ts
+++ b/src/process/dispatcher/DispatcherPeers.test.ts
@@ -6,14 +6,14 @@
 import { PeerListener } from '../../connection/peer/PeerListener.js';
 import type { PeerMessage, Ping } from '../../connection/peer/peerMessages.js';
 import { OperatorExchange } from '../OperatorExchange.js';
-import { EntryPeers } from './EntryPeers.js';
+import { DispatcherPeers } from './DispatcherPeers.js';
 
 const HOST = '127.0.0.1';
 const VERSION = 7;
 
 describe('EntryPeers', () => {
   let listener: PeerListener;
-  let peers: EntryPeers;
+  let peers: DispatcherPeers;
   let received: PeerMessage[];
   let logged: string[];
   /** Whether the other entry echoes pings. */
@@ -53,9 +53,9 @@
     };
     const place = { address: `${HOST}:1`, failureDomain: 'x' };
     const events = {
-      noteMembers: () => undefined,
-      noteSuspects: () => undefined,
-      greet: () => undefined,
+      recordMembers: () => undefined,
+      recordSuspects: () => undefined,
+      sendFirstMessages: () => undefined,
       log: (event: string) => void logged.push(event),
     };
     const options = { id: 'e1', place, linkPort };
@@ -63,8 +63,8 @@
       changeConfiguration: () => undefined,
       changeEmptied: () => undefined,
     });
-    peers = new EntryPeers(options, exchange, clock, events, () => 0.5);
-    peers.noteSeeds([`${HOST}:1`]);
+    peers = new DispatcherPeers(options, exchange, clock, events, () => 0.5);
+    peers.recordSeeds([`${HOST}:1`]);
     await waitFor('entry-hello');
   });
 
--- a/src/process/dispatcher/EntryPeers.ts
+++ b/src/process/dispatcher/DispatcherPeers.ts
@@ -6,7 +6,7 @@
 import type { LineChannel } from '../../connection/peer/LineChannel.js';
 import { PeerDialer } from '../../connection/peer/PeerDialer.js';
 import type {
-  EntryPlace,
+  DispatcherPlace,
   PeerMessage,
   SuspectNotice,
   SuspectTask,
@@ -19,33 +19,33 @@
 const FIRST_ECHO_MS = 1_000;
 
 /** Who dials. */
-export interface EntryPeersOptions {
+export interface DispatcherPeersOptions {
   /** Process id of the entry. */
   readonly id: string;
-  readonly place: EntryPlace;
+  readonly place: DispatcherPlace;
   /** Port of the links between daemons, the same on every VM. */
   readonly linkPort: number;
 }
 
 /** What the links tell their entry. */
-export interface EntryPeersEvents {
-  readonly noteMembers: (entries: readonly EntryPlace[]) => void;
-  readonly noteSuspects: (tasks: readonly SuspectTask[]) => void;
+export interface DispatcherPeersEvents {
+  readonly recordMembers: (entries: readonly DispatcherPlace[]) => void;
+  readonly recordSuspects: (tasks: readonly SuspectTask[]) => void;
   /** A link to another entry is open. */
-  readonly greet: (channel: LineChannel) => void;
+  readonly sendFirstMessages: (channel: LineChannel) => void;
   readonly log: (event: string, fields: LogFields) => void;
 }
 
 /** Links of one entry to others. */
-export class EntryPeers {
+export class DispatcherPeers {
   private readonly dialer: PeerDialer;
   private readonly channels = new Map<string, LineChannel>();
 
   constructor(
-    private readonly options: EntryPeersOptions,
+    private readonly options: DispatcherPeersOptions,
     private readonly exchange: OperatorExchange,
     private readonly clock: Clock,
-    private readonly events: EntryPeersEvents,
+    private readonly events: DispatcherPeersEvents,
     nextRandom: () => number,
   ) {
     const dialed = {
@@ -57,7 +57,7 @@
   }
 
   /** Dials the entries that the settings name, `host:port`; only the host is used. Agents learn of this one from them. */
-  noteSeeds(seeds: readonly string[]): void {
+  recordSeeds(seeds: readonly string[]): void {
     const { linkPort, place } = this.options;
     for (const seed of seeds) {
       const address = `${splitAddress(seed).host}:${linkPort}`;
@@ -72,18 +72,18 @@
     const { versions } = this.exchange;
     for (const [address, channel] of this.channels) {
       channel.send({ type: 'ping', at, ...versions, room: undefined, progress: undefined });
-      this.dialer.notePing(address);
+      this.dialer.recordPing(address);
     }
   }
 
   /** Tells all of tasks that may crash upstreams. */
-  tell(notice: SuspectNotice): void {
+  sendNotice(notice: SuspectNotice): void {
     for (const channel of this.channels.values()) channel.send(notice);
   }
 
   /** This process stood still. */
-  notePause(): void {
-    this.dialer.notePause();
+  handlePause(): void {
+    this.dialer.handlePause();
   }
 
   /** Ends all links. */
@@ -95,24 +95,24 @@
     const { id, place } = this.options;
     this.channels.set(address, channel);
     channel.send({ type: 'entry-hello', entry: id, place });
-    this.exchange.tell(channel);
-    this.events.greet(channel);
+    this.exchange.sendVersions(channel);
+    this.events.sendFirstMessages(channel);
   }
 
   private receive(address: string, message: PeerMessage): void {
     const channel = this.channels.get(address);
     if (!channel) return;
     if (this.exchange.receive(message, channel)) return;
-    if (message.type === 'members') return this.events.noteMembers(message.entries);
-    if (message.type === 'suspects') return this.events.noteSuspects(message.tasks);
+    if (message.type === 'members') return this.events.recordMembers(message.entries);
+    if (message.type === 'suspects') return this.events.recordSuspects(message.tasks);
     if (message.type !== 'pong') return;
-    this.dialer.noteEcho(address, message.at);
+    this.dialer.recordPong(address, message.at);
     this.exchange.compareVersions(message, channel, this.clock.now());
   }
 
   private noteClosed(address: string, reason: string): void {
     const channel = this.channels.get(address);
-    if (channel) this.exchange.noteClosed(channel);
+    if (channel) this.exchange.handleClosed(channel);
     this.channels.delete(address);
     this.events.log('peer-unlinked', { address, reason });
   }
--- a/src/process/dispatcher/AgentTable.ts
+++ b/src/process/dispatcher/ExecutorTable.ts
@@ -1,6 +1,6 @@
 /** The agents that a dispatcher knows: which are linked, where nothing is placed, and how fast their upstreams work. */
-import type { AgentHello } from '../../connection/peer/peerMessages.js';
-import { AgentView, buildAgentId } from './AgentView.js';
+import type { ExecutorHello } from '../../connection/peer/peerMessages.js';
+import { ExecutorView, buildExecutorId } from './ExecutorView.js';
 
 /** Lowest speed that the median is taken for, so that no estimate becomes endless. */
 const MIN_TYPICAL_SPEED = 0.2;
@@ -8,8 +8,8 @@
 const FORGET_AGENT_MS = 10_000;
 
 /** Agents of one dispatcher, by process and life. */
-export class AgentTable {
-  private readonly agents = new Map<string, AgentView>();
+export class ExecutorTable {
+  private readonly agents = new Map<string, ExecutorView>();
   /** Failure domains in which nothing is started. */
   private emptied: readonly string[] = [];
   private median = 1;
@@ -23,12 +23,12 @@
   }
 
   /** All agents, linked or not. */
-  list(): AgentView[] {
+  list(): ExecutorView[] {
     return [...this.agents.values()];
   }
 
   /** Finds one life of an agent. */
-  find(id: string): AgentView | undefined {
+  find(id: string): ExecutorView | undefined {
     return this.agents.get(id);
   }
 
@@ -47,23 +47,23 @@
   }
 
   /** Adds an agent that is met for the first time. */
-  add(hello: AgentHello, now: number): AgentView {
-    const agent = new AgentView(hello, now);
+  add(hello: ExecutorHello, now: number): ExecutorView {
+    const agent = new ExecutorView(hello, now);
     agent.isEmptied = this.emptied.includes(agent.failureDomain);
     this.agents.set(agent.id, agent);
     return agent;
   }
 
   /** A life of an agent has linked: the others do not have its link any more. */
-  unlinkOthers(hello: AgentHello): void {
-    const id = buildAgentId(hello);
+  unlinkOthers(hello: ExecutorHello): void {
+    const id = buildExecutorId(hello);
     for (const other of this.agents.values()) {
       if (other.agent === hello.agent && other.id !== id) other.linked = false;
     }
   }
 
   /** Other lives of an agent that had the same upstream. */
-  listOtherLives(agent: AgentView): AgentView[] {
+  listOtherIncarnations(agent: ExecutorView): ExecutorView[] {
     return this.list().filter(
       (other) =>
         other !== agent && other.agent === agent.agent && other.room?.upstream === agent.room?.upstream,
@@ -81,12 +81,12 @@
   }
 
   /** Forgets an agent that has been gone for long. */
-  forgetIfGone({ id, linked, heardAt }: AgentView, now: number): void {
+  forgetIfGone({ id, linked, heardAt }: ExecutorView, now: number): void {
     if (!linked && now > heardAt + FORGET_AGENT_MS) this.agents.delete(id);
   }
 
   /** Bytes of starts on their way; what was sent to an agent that says nothing may never arrive, and is not counted. */
-  sumBytesOnTheWay(now: number): number {
+  sumBytesInFlight(now: number): number {
     let bytes = 0;
     for (const agent of this.agents.values()) {
       if (agent.linked && this.isFresh(agent, now)) bytes += agent.unseenBytes;
@@ -94,12 +94,12 @@
     return bytes;
   }
 
-  private isFresh({ heardAt }: AgentView, now: number): boolean {
+  private isFresh({ heardAt }: ExecutorView, now: number): boolean {
     return now - heardAt <= this.staleMs;
   }
 }
 
-function findMedianSpeed(agents: Iterable<AgentView>): number {
+function findMedianSpeed(agents: Iterable<ExecutorView>): number {
   const speeds: number[] = [];
   for (const { linked, room, isEmptied } of agents)
     if (linked && !isEmptied && room && room.state === 'ready') speeds.push(room.speed);
--- a/src/process/dispatcher/AgentView.test.ts
+++ b/src/process/dispatcher/ExecutorView.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 
-import type { RoomReport } from '../../connection/peer/peerMessages.js';
+import type { CapacityReport } from '../../connection/peer/peerMessages.js';
 import type { Resources } from '../../request/dispatch/submission.js';
-import { AgentView } from './AgentView.js';
+import { ExecutorView } from './ExecutorView.js';
 
 function buildAmount(cpuMilli: number): Resources {
   return { cpuMilli, memoryMb: 0, gpus: 0 };
@@ -16,7 +16,7 @@
 
 /** Tells the room some time after it was told before. */
 function tellFree(
-  view: AgentView,
+  view: ExecutorView,
   cpuMilli: number,
   startsSeen = 0,
   upstream = 'u1',
@@ -24,21 +24,21 @@
 ): void {
   now += REPORT_MS;
   const description = { upstream, service: 'service', labels: [], capacity };
-  const rest: Omit<RoomReport, 'description' | 'free'> = {
+  const rest: Omit<CapacityReport, 'description' | 'free'> = {
     state: 'ready',
     trust: 'healthy',
     startsSeen,
     speed: 1,
   };
-  view.noteRoom({ description, free: buildAmount(cpuMilli), ...rest }, now);
+  view.recordCapacity({ description, free: buildAmount(cpuMilli), ...rest }, now);
 }
 
 describe('AgentView', () => {
-  let view: AgentView;
+  let view: ExecutorView;
 
   beforeEach(() => {
     const hello = { agent: 'a1', life: '1', failureDomain: 'x', entryLife: '', orphanMs: 1_000 };
-    view = new AgentView({ type: 'agent-hello', holding: [], results: [], ...hello }, 0);
+    view = new ExecutorView({ type: 'agent-hello', holding: [], results: [], ...hello }, 0);
     tellFree(view, 10_000);
   });
 
@@ -79,9 +79,9 @@
     const hello = { agent: 'a2', life: '1', failureDomain: 'x', entryLife: '', orphanMs: 1_000 };
     const ping = { type: 'ping', at: 0, version: 1, room: undefined, progress: undefined } as const;
     const risks = [0, 60_000].map((metAt) => {
-      const late = new AgentView({ type: 'agent-hello', holding: [], results: [], ...hello }, metAt);
+      const late = new ExecutorView({ type: 'agent-hello', holding: [], results: [], ...hello }, metAt);
       now = metAt;
-      late.notePing(ping, now);
+      late.recordPing(ping, now);
       tellFree(late, 10_000);
       tellFree(late, 4_000);
       return late.estimateRisk(NEED, now + REPORT_MS);
--- a/src/process/dispatcher/AgentView.ts
+++ b/src/process/dispatcher/ExecutorView.ts
@@ -1,8 +1,8 @@
 /** What an entry knows of one agent: its room as last told, less what was sent since, and how fresh that is. */
 import type {
-  AgentHello,
+  ExecutorHello,
   Ping,
-  RoomReport,
+  CapacityReport,
   UpstreamDescription,
 } from '../../connection/peer/peerMessages.js';
 import {
@@ -19,7 +19,7 @@
  * @param hello - its first message
  * @returns process id and life
  */
-export function buildAgentId({ agent, life }: AgentHello): string {
+export function buildExecutorId({ agent, life }: ExecutorHello): string {
   return `${agent}@${life}`;
 }
 
@@ -42,10 +42,10 @@
 }
 
 /** An upstream and its room as last told. */
-export type AgentRoom = UpstreamDescription & Omit<RoomReport, 'description'>;
+export type ExecutorCapacity = UpstreamDescription & Omit<CapacityReport, 'description'>;
 
 /** An agent as the entry sees it. */
-export class AgentView {
+export class ExecutorView {
   /** Process and life: attempts belong to one life of an agent. */
   readonly id: string;
   readonly agent: string;
@@ -55,7 +55,7 @@
   linked = true;
   /** Whether the operators have emptied its failure domain, so that nothing is placed there. */
   isEmptied = false;
-  room: AgentRoom | undefined;
+  room: ExecutorCapacity | undefined;
   /**
    * Our time of the newest ping, room or result. The agent stops our work by the age of the newest ping that we have
    * echoed, which came no later; so what counts from here ends no sooner than the agent's own count.
@@ -82,8 +82,8 @@
   /** Our time of the newest report of room; at first, when the agent was met. */
   private roomAt: number;
 
-  constructor(hello: AgentHello, now: number) {
-    this.id = buildAgentId(hello);
+  constructor(hello: ExecutorHello, now: number) {
+    this.id = buildExecutorId(hello);
     this.agent = hello.agent;
     this.failureDomain = hello.failureDomain;
     this.orphanMs = hello.orphanMs;
@@ -124,7 +124,7 @@
   }
 
   /** Takes the time that an echo took, and returns how much longer that was than the fastest of late, ms. */
-  noteEcho(tookMs: number): number {
+  recordRoundTrip(tookMs: number): number {
     this.echoFloorMs = Math.min(tookMs, this.echoFloorMs * (1 + FLOOR_RISE));
     return tookMs - this.echoFloorMs;
   }
@@ -141,21 +141,21 @@
   }
 
   /** Takes a ping; pings prove that the agent lived, and carry its clock. */
-  notePing(ping: Ping, now: number): void {
+  recordPing(ping: Ping, now: number): void {
     this.heardAt = now;
-    this.noteClock(ping.at, now);
-    if (ping.room) this.noteRoom(ping.room, now);
+    this.recordClock(ping.at, now);
+    if (ping.room) this.recordCapacity(ping.room, now);
     else this.observe(0, now);
   }
 
   /** Takes the agent's clock from any message that has just come. */
-  noteClock(at: number, now: number): void {
+  recordClock(at: number, now: number): void {
     this.agentClock = at;
     this.clockAt = now;
   }
 
   /** Takes a room that is newer than the one known. */
-  noteRoom(room: RoomReport, now: number): void {
+  recordCapacity(room: CapacityReport, now: number): void {
     const { description = this.room, ...rest } = room;
     if (!description) return;
     const { upstream, service, labels, capacity } = description;
--- a/src/process/dispatcher/IsolatedPlacement.test.ts
+++ b/src/process/dispatcher/IsolatedPlacement.test.ts
@@ -3,7 +3,7 @@
 import { ROUTE, STEP } from '../../../test/fakes/dispatchFixtures.js';
 import { FakeCaller } from '../../../test/fakes/FakeCaller.js';
 import { createRandom } from '../../_lib/createRandom.js';
-import { AgentView } from './AgentView.js';
+import { ExecutorView } from './ExecutorView.js';
 import { createDispatchJob } from './dispatchJob.js';
 import type { DispatchTask } from './dispatchJob.js';
 import { IsolatedPlacement } from './IsolatedPlacement.js';
@@ -13,11 +13,11 @@
 const BUSY = { cpuMilli: 8_000, memoryMb: 1_000, gpus: 0 };
 const CRASHED_MS = 10_000;
 
-function createAgent(agent: string, free = CAPACITY): AgentView {
+function createAgent(agent: string, free = CAPACITY): ExecutorView {
   const hello = { type: 'agent-hello', agent, life: '1', failureDomain: 'x', orphanMs: 1_000 } as const;
-  const view = new AgentView({ ...hello, holding: [], results: [], entryLife: '' }, 0);
+  const view = new ExecutorView({ ...hello, holding: [], results: [], entryLife: '' }, 0);
   const description = { upstream: agent, service: 'service', labels: [], capacity: CAPACITY };
-  view.noteRoom({ description, state: 'ready', trust: 'healthy', free, startsSeen: 0, speed: 1 }, 0);
+  view.recordCapacity({ description, state: 'ready', trust: 'healthy', free, startsSeen: 0, speed: 1 }, 0);
   return view;
 }
 
@@ -36,7 +36,7 @@
     placement = new IsolatedPlacement(new SpeedPlacement(1));
   });
 
-  function choose(task: DispatchTask, agents: readonly AgentView[], now = 0): string | undefined {
+  function choose(task: DispatchTask, agents: readonly ExecutorView[], now = 0): string | undefined {
     const context = { now, typicalSpeed: 1, staleMs: Infinity, returnMs: 50, nextRandom: createRandom(1) };
     return placement.choose(task, agents, context)?.agent;
   }
--- a/src/process/dispatcher/IsolatedPlacement.ts
+++ b/src/process/dispatcher/IsolatedPlacement.ts
@@ -1,4 +1,4 @@
-import type { AgentView } from './AgentView.js';
+import type { ExecutorView } from './ExecutorView.js';
 import type { DispatchTask } from './dispatchJob.js';
 import { Placement } from './Placement.js';
 import type { PlacementContext } from './Placement.js';
@@ -31,9 +31,9 @@
 
   override choose(
     task: DispatchTask,
-    agents: readonly AgentView[],
+    agents: readonly ExecutorView[],
     context: PlacementContext,
-  ): AgentView | undefined {
+  ): ExecutorView | undefined {
     const taken = this.listTaken(context.now);
     const apart = agents.filter(({ id }) => !taken.has(id));
     const sound = apart.filter(({ id }) => !task.avoid.has(id) && !this.hasCrashed(id, context.now));
@@ -56,9 +56,9 @@
 
   private chooseAmong(
     task: DispatchTask,
-    apart: AgentView[],
+    apart: ExecutorView[],
     context: PlacementContext,
-  ): AgentView | undefined {
+  ): ExecutorView | undefined {
     const idle = apart.filter((agent) => measureLoad(agent) === 0);
     const chosen = this.placement.choose(task, idle, context);
     if (chosen) return chosen;
@@ -94,7 +94,7 @@
 }
 
 /** Share of an agent's processor room that is taken, 0 to 1. */
-function measureLoad({ room, free, unseenStarts }: AgentView): number {
+function measureLoad({ room, free, unseenStarts }: ExecutorView): number {
   if (!room || room.capacity.cpuMilli === 0) return unseenStarts;
   return 1 - free.cpuMilli / room.capacity.cpuMilli;
 }
--- a/src/process/dispatcher/Placement.test.ts
+++ b/src/process/dispatcher/Placement.test.ts
@@ -2,23 +2,23 @@
 
 import { ROUTE, STEP } from '../../../test/fakes/dispatchFixtures.js';
 import { FakeCaller } from '../../../test/fakes/FakeCaller.js';
-import type { RoomReport } from '../../connection/peer/peerMessages.js';
+import type { CapacityReport } from '../../connection/peer/peerMessages.js';
 import { createRandom } from '../../_lib/createRandom.js';
-import { AgentView } from './AgentView.js';
+import { ExecutorView } from './ExecutorView.js';
 import { createDispatchJob } from './dispatchJob.js';
 import type { DispatchTask } from './dispatchJob.js';
-import { GroupedPlacement, HomePlacement, SpeedPlacement } from './Placement.js';
+import { GroupedPlacement, PreferredPlacement, SpeedPlacement } from './Placement.js';
 
 const FAR_FACTOR = 3;
 const CAPACITY = { cpuMilli: 16_000, memoryMb: 1_000, gpus: 0 };
 const CONTEXT = { now: 0, typicalSpeed: 1, staleMs: 300, returnMs: 50 };
 
-function createAgent(agent: string, rack: string, change: Partial<RoomReport> = {}): AgentView {
+function createAgent(agent: string, rack: string, change: Partial<CapacityReport> = {}): ExecutorView {
   const hello = { type: 'agent-hello', agent, life: '1', failureDomain: 'x', orphanMs: 1_000 } as const;
-  const view = new AgentView({ ...hello, holding: [], results: [], entryLife: '' }, 0);
+  const view = new ExecutorView({ ...hello, holding: [], results: [], entryLife: '' }, 0);
   const description = { upstream: agent, service: 'service', labels: [rack], capacity: CAPACITY };
   const rest = { state: 'ready', trust: 'healthy', free: CAPACITY, startsSeen: 0, speed: 1 } as const;
-  view.noteRoom({ description, ...rest, ...change }, 0);
+  view.recordCapacity({ description, ...rest, ...change }, 0);
   return view;
 }
 
@@ -108,13 +108,13 @@
 });
 
 describe('HomePlacement', () => {
-  const placement = new HomePlacement(FAR_FACTOR);
+  const placement = new PreferredPlacement(FAR_FACTOR);
   const nextRandom = createRandom(3);
   const half = { cpuMilli: 8_000, memoryMb: 1_000, gpus: 0 };
   const none = { cpuMilli: 0, memoryMb: 0, gpus: 0 };
 
   /** Many agents, of which one prefers the dispatcher. */
-  function createAgents(home: Partial<RoomReport>): AgentView[] {
+  function createAgents(home: Partial<CapacityReport>): ExecutorView[] {
     return Array.from({ length: 35 }, (_, at) =>
       createAgent(`a${at}`, 'r1', at === 7 ? { isHome: true, ...home } : {}),
     );
--- a/src/process/dispatcher/Placement.ts
+++ b/src/process/dispatcher/Placement.ts
@@ -1,6 +1,6 @@
 /** Chooses the agent for a task. */
 import { fitResources } from '../../request/dispatch/resources.js';
-import type { AgentView } from './AgentView.js';
+import type { ExecutorView } from './ExecutorView.js';
 import type { DispatchTask } from './dispatchJob.js';
 
 /** Share of the typical speed below which an upstream is left alone. */
@@ -39,9 +39,9 @@
 export abstract class Placement {
   abstract choose(
     task: DispatchTask,
-    agents: readonly AgentView[],
+    agents: readonly ExecutorView[],
     context: PlacementContext,
-  ): AgentView | undefined;
+  ): ExecutorView | undefined;
 }
 
 /** The agent where the task will probably end first, of some that have room: fast, near its data, with little load. */
@@ -53,12 +53,12 @@
 
   override choose(
     task: DispatchTask,
-    agents: readonly AgentView[],
+    agents: readonly ExecutorView[],
     context: PlacementContext,
-  ): AgentView | undefined {
-    let best: AgentView | undefined;
+  ): ExecutorView | undefined {
+    let best: ExecutorView | undefined;
     let bestCost = Infinity;
-    const compare = (agent: AgentView, worth: number): void => {
+    const compare = (agent: ExecutorView, worth: number): void => {
       const cost = this.measureCost(task, agent, context) - worth;
       if (cost < bestCost) [best, bestCost] = [agent, cost];
     };
@@ -80,11 +80,11 @@
   }
 
   /** How much costlier an agent may be than others, in parts of the task's time; any above 0 is always compared. */
-  protected measurePreference(_task: DispatchTask, _agent: AgentView): number {
+  protected measurePreference(_task: DispatchTask, _agent: ExecutorView): number {
     return 0;
   }
 
-  private measureCost(task: DispatchTask, agent: AgentView, context: PlacementContext): number {
+  private measureCost(task: DispatchTask, agent: ExecutorView, context: PlacementContext): number {
     const { room } = agent;
     if (!room) return Infinity;
     const slowness = context.typicalSpeed / Math.max(room.speed, context.typicalSpeed * 0.1);
@@ -101,21 +101,21 @@
 
 /** As `SpeedPlacement`, and tasks of one job that start together go to few agents. */
 export class GroupedPlacement extends SpeedPlacement {
-  protected override measurePreference({ job, avoid }: DispatchTask, { id }: AgentView): number {
+  protected override measurePreference({ job, avoid }: DispatchTask, { id }: ExecutorView): number {
     return job.lastAgent === id && !avoid.has(id) ? TOGETHER_WORTH : 0;
   }
 }
 
 /** As `GroupedPlacement`, and agents that prefer this dispatcher come first. */
-export class HomePlacement extends GroupedPlacement {
-  protected override measurePreference(task: DispatchTask, agent: AgentView): number {
+export class PreferredPlacement extends GroupedPlacement {
+  protected override measurePreference(task: DispatchTask, agent: ExecutorView): number {
     return super.measurePreference(task, agent) + (agent.isHome ? HOME_WORTH : 0);
   }
 }
 
 function isUsable(
   task: DispatchTask,
-  agent: AgentView,
+  agent: ExecutorView,
   { now, typicalSpeed, staleMs }: PlacementContext,
 ): boolean {
   const { room } = agent;
@@ -128,6 +128,6 @@
   return fitResources(task.need.resources, agent.free);
 }
 
-function isIdle({ room, unseenStarts }: AgentView): boolean {
+function isIdle({ room, unseenStarts }: ExecutorView): boolean {
   return room !== undefined && unseenStarts === 0 && room.free.cpuMilli >= room.capacity.cpuMilli;
 }
--- a/src/process/dispatcher/Suspects.ts
+++ b/src/process/dispatcher/Suspects.ts
@@ -1,8 +1,8 @@
 /** The tasks of a dispatcher under which upstreams crash: what counts against them, and where they run. */
 import { OTHER_SUSPECT, UPSTREAM_CRASHED } from '../../connection/peer/peerMessages.js';
 import type { AttemptResult, CrashedTask, SuspectTask } from '../../connection/peer/peerMessages.js';
-import type { AgentTable } from './AgentTable.js';
-import type { AgentView } from './AgentView.js';
+import type { ExecutorTable } from './ExecutorTable.js';
+import type { ExecutorView } from './ExecutorView.js';
 import { CrashLedger, TOGETHER_MS } from './CrashLedger.js';
 import type { TaskName } from './CrashLedger.js';
 import { buildAttemptName } from './dispatchJob.js';
@@ -25,7 +25,7 @@
   constructor(
     limit: number,
     placement: Placement,
-    private readonly agents: AgentTable,
+    private readonly agents: ExecutorTable,
     private readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void,
   ) {
     this.ledger = new CrashLedger(limit);
@@ -48,27 +48,27 @@
   }
 
   /** A task is sent to its agent. */
-  noteSent(task: DispatchTask): void {
+  recordSent(task: DispatchTask): void {
     task.isIsolated = this.has(task);
     if (task.isIsolated) this.placement.noteSent(task);
   }
 
   /** An attempt is over: a crash is counted against its task, and a suspect that is done is none any more. */
-  noteEnd(task: DispatchTask, end: AttemptResult['end'], reason: string, now: number): void {
+  recordEnd(task: DispatchTask, end: AttemptResult['end'], reason: string, now: number): void {
     const { isIsolated, need, step, index } = task;
     const job = task.job.id;
     if (isIsolated) this.placement.noteEnd(task, reason === OTHER_SUSPECT, now);
     if (end === 'lost' && reason === UPSTREAM_CRASHED) {
       const ranMs = now - task.sentAt;
       const crashed = { job, step, index, isIsolated, ranMs, estimateMs: need.estimateMs };
-      return this.noteCrash(task.agent, crashed, now);
+      return this.recordCrash(task.agent, crashed, now);
     }
     if (end !== 'done' || !this.ledger.release({ job, step, index })) return;
     this.log('task-cleared', { job, task: `${step}/${index}` });
   }
 
   /** An upstream has crashed under a task. */
-  noteCrash(agent: string, { isIsolated, ranMs, estimateMs, ...name }: CrashedTask, now: number): void {
+  recordCrash(agent: string, { isIsolated, ranMs, estimateMs, ...name }: CrashedTask, now: number): void {
     this.placement.noteCrash(agent, now);
     const failureDomain = this.agents.find(agent)?.failureDomain ?? '';
     const agents = this.agents.list();
@@ -80,7 +80,7 @@
       down: countDown(agents, now),
     };
     const crash = { agent, failureDomain, isIsolated, ranMs, estimateMs };
-    const isBlamed = this.ledger.noteCrash(name, crash, fleet, now);
+    const isBlamed = this.ledger.recordCrash(name, crash, fleet, now);
     const crashes = this.ledger.countCrashes(name);
     const task = `${name.step}/${name.index}`;
     const event = isBlamed ? 'task-suspect' : 'crash-not-blamed';
@@ -88,7 +88,7 @@
   }
 
   /** A job is failed for a task that is not to be started any more. */
-  noteFailed({ job, step, index }: TaskName): void {
+  recordFailed({ job, step, index }: TaskName): void {
     const crashes = this.ledger.countCrashes({ job, step, index });
     this.log('job-crashes', { job, task: `${step}/${index}`, crashes });
   }
@@ -116,6 +116,6 @@
 }
 
 /** Counts the agents whose upstream has ceased to answer of late. */
-function countDown(agents: readonly AgentView[], now: number): number {
+function countDown(agents: readonly ExecutorView[], now: number): number {
   return agents.filter(({ downAt }) => now - downAt <= TOGETHER_MS).length;
 }
--- a/src/process/dispatcher/createAdmission.test.ts
+++ b/src/process/dispatcher/createAdmission.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 
-import { ForecastAdmission, PatienceAdmission } from './Admission.js';
+import { ForecastAdmission, CallerTimeoutAdmission } from './Admission.js';
 import { createAdmission } from './createAdmission.js';
 import { createTaskOrder } from './createTaskOrder.js';
 import { FairOrder } from './FairOrder.js';
@@ -8,7 +8,7 @@
 
 describe('createAdmission and createTaskOrder', () => {
   it('create the admission and the order that the settings name', () => {
-    expect(createAdmission({ admission: 'patience' }, () => 0)).to.be.instanceOf(PatienceAdmission);
+    expect(createAdmission({ admission: 'patience' }, () => 0)).to.be.instanceOf(CallerTimeoutAdmission);
     expect(createAdmission({ admission: 'forecast' }, () => 0)).to.be.instanceOf(ForecastAdmission);
     expect(createTaskOrder({ taskOrder: 'deadline' })).to.be.instanceOf(DeadlineOrder);
     expect(createTaskOrder({ taskOrder: 'fair' })).to.be.instanceOf(FairOrder);
--- a/src/process/dispatcher/createAdmission.ts
+++ b/src/process/dispatcher/createAdmission.ts
@@ -1,5 +1,5 @@
 import type { DispatchSettings } from '../settings/dispatchSettings.js';
-import { ForecastAdmission, PatienceAdmission } from './Admission.js';
+import { ForecastAdmission, CallerTimeoutAdmission } from './Admission.js';
 import type { Admission } from './Admission.js';
 
 /**
@@ -13,5 +13,5 @@
   { admission }: Pick<DispatchSettings, 'admission'>,
   nextRandom: () => number,
 ): Admission {
-  return admission === 'forecast' ? new ForecastAdmission(nextRandom) : new PatienceAdmission();
+  return admission === 'forecast' ? new ForecastAdmission(nextRandom) : new CallerTimeoutAdmission();
 }
--- a/src/process/dispatcher/createPlacement.ts
+++ b/src/process/dispatcher/createPlacement.ts
@@ -1,5 +1,5 @@
 import type { DispatchSettings } from '../settings/dispatchSettings.js';
-import { GroupedPlacement, HomePlacement, SpeedPlacement } from './Placement.js';
+import { GroupedPlacement, PreferredPlacement, SpeedPlacement } from './Placement.js';
 import type { Placement } from './Placement.js';
 
 /**
@@ -13,5 +13,5 @@
   farFactor,
 }: Pick<DispatchSettings, 'placement' | 'farFactor'>): Placement {
   if (placement === 'spread') return new SpeedPlacement(farFactor);
-  return placement === 'grouped' ? new GroupedPlacement(farFactor) : new HomePlacement(farFactor);
+  return placement === 'grouped' ? new GroupedPlacement(farFactor) : new PreferredPlacement(farFactor);
 }
--- a/src/process/executor/RoomPacer.ts
+++ b/src/process/executor/CapacityReportLimiter.ts
@@ -17,19 +17,19 @@
 const MAX_FACTOR = MAX_INTERVAL_MS / INTERVAL_PER_LINK_MS;
 
 /** Pace of one link. */
-export class RoomPacer {
+export class CapacityReportLimiter {
   private factor = 1;
-  private toldAt = -Infinity;
+  private reportedAt = -Infinity;
 
   /** Notes how long an echo took. */
-  noteEcho(roundTripMs: number): void {
+  recordRoundTrip(roundTripMs: number): void {
     const next = this.factor * (roundTripMs > CONGESTED_MS ? SLOWDOWN : SPEEDUP);
     this.factor = Math.min(MAX_FACTOR, Math.max(1, next));
   }
 
   /** Notes that a change was told. */
-  noteTold(now: number): void {
-    this.toldAt = now;
+  recordReport(now: number): void {
+    this.reportedAt = now;
   }
 
   /**
@@ -41,7 +41,7 @@
    */
   findWait(now: number, links: number): number {
     const intervalMs = Math.min(MAX_INTERVAL_MS, INTERVAL_PER_LINK_MS * links * this.factor);
-    return Math.max(GATHER_MS, this.toldAt + intervalMs - now);
+    return Math.max(GATHER_MS, this.reportedAt + intervalMs - now);
   }
 
   /**
@@ -51,7 +51,7 @@
    * @param links - links that are told a part
    * @returns the time to wait, ms
    */
-  findPartWait(now: number, links: number): number {
+  findShareWait(now: number, links: number): number {
     return this.factor > 1 ? this.findWait(now, links) : 0;
   }
 }
--- a/src/process/executor/RoomShares.ts
+++ b/src/process/executor/CapacityShares.ts
@@ -3,7 +3,7 @@
  * so that they do not send to the same room. Only what is told is divided: a start beyond its entry's part is taken all
  * the same while there is room, and a part is no permission, so that none can be lost with its entry.
  */
-import { divideRoom } from './divideRoom.js';
+import { divideCapacity } from './divideCapacity.js';
 
 /** Time in which the weight of a start falls to a third, ms: about a ping, so that an entry that was calm keeps room. */
 const RECENT_MS = 200;
@@ -27,21 +27,21 @@
 const TASK_FALL = 0.02;
 
 /** An entry that may be told room. */
-export interface RoomEntry {
+export interface DispatcherUsage {
   readonly life: string;
   /** What its tasks take here, thousandths of a core. */
   readonly used: number;
-  readonly isHome: boolean;
+  readonly isPreferred: boolean;
 }
 
 /** What an entry is to be told. Amounts are thousandths of a core. */
-export interface ToldPart {
+export interface ReportedShare {
   readonly cpuMilli: number;
   /** Whether the entry knows it by what it was told and has sent since. */
   readonly isKnown: boolean;
 }
 
-interface EntryShare {
+interface DispatcherShare {
   /** Processor room that its waiting tasks ask for; undefined where it does not tell. */
   waiting: number | undefined;
   /** Decaying sum of what it has started here, and when it was last added to. */
@@ -55,13 +55,13 @@
 }
 
 /** Shares of one agent's room. Amounts are in thousandths of a core; points in time are monotonic ms. */
-export class RoomShares {
-  private readonly shares = new Map<string, EntryShare>();
+export class CapacityShares {
+  private readonly shares = new Map<string, DispatcherShare>();
   /** What the larger tasks of late take; 0 before the first. */
   private task = 0;
 
   /** Entries at which tasks wait. */
-  get waitingEntries(): number {
+  get waitingDispatchers(): number {
     return [...this.shares.values()].filter(({ waiting = 0 }) => waiting > 0).length;
   }
 
@@ -73,27 +73,27 @@
   }
 
   /** Whether an entry tells what waits; others are told all of the room. */
-  hasToldDemand(life: string): boolean {
+  hasReportedDemand(life: string): boolean {
     return this.shares.get(life)?.waiting !== undefined;
   }
 
   /** Takes what waits at an entry; undefined where it does not tell. */
-  noteDemand(life: string, waiting: number | undefined): void {
+  recordDemand(life: string, waiting: number | undefined): void {
     this.find(life).waiting = waiting;
   }
 
   /** An entry has ordered a start. */
-  noteStart(life: string, cpuMilli: number, now: number): void {
+  recordStart(life: string, cpuMilli: number, now: number): void {
     const share = this.find(life);
     share.recent = readRecent(share, now) + cpuMilli;
     share.recentAt = now;
     this.task = Math.max(cpuMilli, this.task * (1 - TASK_FALL));
-    this.keepPart(share, Math.max(0, share.held - cpuMilli), now);
+    this.recordShare(share, Math.max(0, share.held - cpuMilli), now);
     if (share.heldSince !== undefined) share.heldSince = now;
   }
 
   /** The link of an entry is new: it was told nothing. */
-  noteLinked(life: string): void {
+  handleLinked(life: string): void {
     this.shares.delete(life);
   }
 
@@ -111,12 +111,12 @@
    * @param now - the time
    * @returns its part; all of the room where it does not compete
    */
-  tell(life: string, free: number, entries: readonly RoomEntry[], now: number): ToldPart {
+  reportShare(life: string, free: number, entries: readonly DispatcherUsage[], now: number): ReportedShare {
     const share = this.find(life);
-    const cpuMilli = this.findPart(life, free, entries, now);
+    const cpuMilli = this.findReportedShare(life, free, entries, now);
     const isKnown = cpuMilli === share.held;
     if (!isKnown) share.toldAt = now;
-    this.keepPart(share, cpuMilli, now);
+    this.recordShare(share, cpuMilli, now);
     return { cpuMilli, isKnown };
   }
 
@@ -124,16 +124,21 @@
    * Tells whether an entry is to be told its part before the next ping: because it waits and there is more for it, or
    * because it was told more than there is, where others wait.
    */
-  isDue(life: string, free: number, entries: readonly RoomEntry[], now: number): boolean {
+  isDue(life: string, free: number, entries: readonly DispatcherUsage[], now: number): boolean {
     const { waiting, held, toldAt } = this.find(life);
-    if (waiting !== 0 && this.findPart(life, free, entries, now) >= held + Math.max(1, this.task))
+    if (waiting !== 0 && this.findReportedShare(life, free, entries, now) >= held + Math.max(1, this.task))
       return true;
     const isOver = held >= Math.max(0, free) + this.task && now - toldAt >= CORRECT_MS;
     return isOver && this.listWaiting(entries).length > 1;
   }
 
-  private findPart(life: string, free: number, entries: readonly RoomEntry[], now: number): number {
-    if (this.task === 0 || free <= 0 || !this.hasToldDemand(life)) return free;
+  private findReportedShare(
+    life: string,
+    free: number,
+    entries: readonly DispatcherUsage[],
+    now: number,
+  ): number {
+    if (this.task === 0 || free <= 0 || !this.hasReportedDemand(life)) return free;
     const kept = this.sumKept(life, entries, now);
     const keptTasks = Math.floor(kept / this.task + SIZE_SLACK);
     const left = keptTasks === 0 ? free : Math.floor(free / this.task + SIZE_SLACK - keptTasks) * this.task;
@@ -141,7 +146,7 @@
   }
 
   /** The part by demand; all of the room where fewer than two entries wait. */
-  private findShare(life: string, free: number, entries: readonly RoomEntry[], now: number): number {
+  private findShare(life: string, free: number, entries: readonly DispatcherUsage[], now: number): number {
     const waiting = this.listWaiting(entries);
     if (waiting.length < 2) return free;
     const claiming = entries.filter((entry) => entry.life === life || waiting.includes(entry));
@@ -151,13 +156,13 @@
       const waits = isAble ? Math.min(share.waiting ?? 0, MAX_COUNTED_TASKS * this.task) : 0;
       const keptOver = entry.life === life && waits > 0 ? KEPT_OVER_TASKS * this.task : 0;
       const used = Math.max(0, entry.used - keptOver);
-      return { demand: waits + readRecent(share, now), used, isHome: entry.isHome };
+      return { demand: waits + readRecent(share, now), used, isHome: entry.isPreferred };
     });
-    return divideRoom(free, this.task, claims)[claiming.findIndex((entry) => entry.life === life)] ?? 0;
+    return divideCapacity(free, this.task, claims)[claiming.findIndex((entry) => entry.life === life)] ?? 0;
   }
 
   /** Room that is kept for others: what they were just told while they wait, or will probably start soon. */
-  private sumKept(life: string, entries: readonly RoomEntry[], now: number): number {
+  private sumKept(life: string, entries: readonly DispatcherUsage[], now: number): number {
     let kept = 0;
     for (const other of entries) {
       const share = this.find(other.life);
@@ -169,29 +174,29 @@
     return kept;
   }
 
-  private findExpected(share: EntryShare, now: number): number {
+  private findExpected(share: DispatcherShare, now: number): number {
     const recent = readRecent(share, now);
     const atOnce = recent >= this.task ? KEPT_TASKS * this.task : 0;
     return Math.max(atOnce, (recent * AHEAD_MS) / RECENT_MS);
   }
 
-  private listWaiting(entries: readonly RoomEntry[]): RoomEntry[] {
+  private listWaiting(entries: readonly DispatcherUsage[]): DispatcherUsage[] {
     return entries.filter(({ life }) => (this.shares.get(life)?.waiting ?? 0) > 0);
   }
 
-  private keepPart(share: EntryShare, held: number, now: number): void {
+  private recordShare(share: DispatcherShare, held: number, now: number): void {
     share.held = held;
     share.heldSince = held < this.task * (1 - SIZE_SLACK) ? undefined : (share.heldSince ?? now);
   }
 
-  private find(life: string): EntryShare {
+  private find(life: string): DispatcherShare {
     let share = this.shares.get(life);
     if (!share) this.shares.set(life, (share = createShare()));
     return share;
   }
 }
 
-function createShare(): EntryShare {
+function createShare(): DispatcherShare {
   return {
     waiting: undefined,
     recent: 0,
@@ -202,6 +207,6 @@
   };
 }
 
-function readRecent({ recent, recentAt }: EntryShare, now: number): number {
+function readRecent({ recent, recentAt }: DispatcherShare, now: number): number {
   return recent * Math.exp((recentAt - now) / RECENT_MS);
 }
--- a/src/process/executor/EntryDirectory.ts
+++ b/src/process/executor/DispatcherDirectory.ts
@@ -5,7 +5,7 @@
  */
 import { chooseEvenly } from '../../_lib/chooseEvenly.js';
 import { digestToWeight } from '../../_lib/digestToWeight.js';
-import type { EntryPlace } from '../../connection/peer/peerMessages.js';
+import type { DispatcherPlace } from '../../connection/peer/peerMessages.js';
 
 /** An entry that should be linked counts as silent after so long without a sign of life, ms. */
 const SILENT_MS = 1_000;
@@ -14,8 +14,8 @@
 /** An entry that no peer reports is forgotten after so long without a sign of life, ms. */
 const FORGET_MS = 20_000;
 
-interface KnownEntry {
-  place: EntryPlace;
+interface KnownDispatcher {
+  place: DispatcherPlace;
   readonly weight: number;
   /** Whether the settings name it. */
   isSeed: boolean;
@@ -30,8 +30,8 @@
 }
 
 /** Entries as one agent knows them. */
-export class EntryDirectory {
-  private readonly entries = new Map<string, KnownEntry>();
+export class DispatcherDirectory {
+  private readonly entries = new Map<string, KnownDispatcher>();
 
   /**
    * @param agent - process id of the agent
@@ -45,13 +45,13 @@
   ) {}
 
   /** Takes the addresses that the settings name, in place of earlier ones. */
-  noteSeeds(addresses: readonly string[], now: number): void {
+  recordSeeds(addresses: readonly string[], now: number): void {
     for (const entry of this.entries.values()) entry.isSeed = false;
     for (const address of addresses) this.findOrAdd({ address, failureDomain: '' }, now).isSeed = true;
   }
 
   /** Takes entries that a peer has a working link to, or is. */
-  noteMembers(places: readonly EntryPlace[], now: number): void {
+  recordMembers(places: readonly DispatcherPlace[], now: number): void {
     for (const place of places) {
       const entry = this.findOrAdd(place, now);
       entry.place = place;
@@ -60,7 +60,7 @@
   }
 
   /** An entry has answered us. */
-  noteAlive(address: string, now: number): void {
+  recordAlive(address: string, now: number): void {
     const entry = this.entries.get(address);
     if (!entry) return;
     entry.aliveAt = now;
@@ -68,7 +68,7 @@
   }
 
   /** This process stood still: the silence of others in that time tells nothing. */
-  notePause(now: number): void {
+  handlePause(now: number): void {
     for (const entry of this.entries.values()) {
       if (entry.wantedSince !== undefined) entry.wantedSince = now;
     }
@@ -82,7 +82,7 @@
   }
 
   /** Entries that answer us. */
-  listAlive(now: number): EntryPlace[] {
+  listAlive(now: number): DispatcherPlace[] {
     const alive = [...this.entries.values()].filter(({ aliveAt }) => now - aliveAt <= SILENT_MS);
     return alive.map(({ place }) => place);
   }
@@ -116,8 +116,8 @@
    * @param now - monotonic time, ms
    * @returns its address, or undefined while none answers
    */
-  chooseHome(addresses: Iterable<string>, now: number): string | undefined {
-    let best: KnownEntry | undefined;
+  choosePreferred(addresses: Iterable<string>, now: number): string | undefined {
+    let best: KnownDispatcher | undefined;
     for (const address of addresses) {
       const entry = this.entries.get(address);
       if (!entry || now - entry.aliveAt > SILENT_MS) continue;
@@ -126,16 +126,16 @@
     return best?.place.address;
   }
 
-  private review(address: string, entry: KnownEntry, now: number): void {
+  private review(address: string, entry: KnownDispatcher, now: number): void {
     if (this.findSilence(address, now) > SILENT_MS) entry.restUntil = now + REST_MS;
     const isForgotten = !entry.isSeed && now - Math.max(entry.reportedAt, entry.aliveAt) > FORGET_MS;
     if (isForgotten) this.entries.delete(address);
   }
 
-  private findOrAdd(place: EntryPlace, now: number): KnownEntry {
+  private findOrAdd(place: DispatcherPlace, now: number): KnownDispatcher {
     const known = this.entries.get(place.address);
     if (known) return known;
-    const entry: KnownEntry = {
+    const entry: KnownDispatcher = {
       place,
       weight: digestToWeight(`${this.agent}/${place.address}`),
       isSeed: false,
--- a/src/process/executor/EntryLinks.test.ts
+++ b/src/process/executor/DispatcherLinks.test.ts
@@ -6,10 +6,10 @@
 import type { Clock } from '../../_lib/Clock.js';
 import type { LineChannel } from '../../connection/peer/LineChannel.js';
 import { PeerListener } from '../../connection/peer/PeerListener.js';
-import type { AgentHello, PeerMessage, Ping, RoomReport } from '../../connection/peer/peerMessages.js';
+import type { ExecutorHello, PeerMessage, Ping, CapacityReport } from '../../connection/peer/peerMessages.js';
 import { NO_RESOURCES } from '../../request/dispatch/resources.js';
-import type { AgentCore } from './AgentCore.js';
-import { EntryLinks } from './EntryLinks.js';
+import type { Executor } from './Executor.js';
+import { DispatcherLinks } from './DispatcherLinks.js';
 
 const HOST = '127.0.0.1';
 /** So long that only the first ping of a link is ever due here. */
@@ -17,7 +17,7 @@
 /** Longer than a change of room is ever held back where it is told at all. */
 const QUIET_MS = 150;
 
-const ROOM: RoomReport = {
+const ROOM: CapacityReport = {
   description: undefined,
   state: 'ready',
   trust: 'healthy',
@@ -25,7 +25,7 @@
   startsSeen: 0,
   speed: 1,
 };
-const HELLO: AgentHello = {
+const HELLO: ExecutorHello = {
   type: 'agent-hello',
   agent: 'a1',
   life: '1',
@@ -38,25 +38,25 @@
 const FIRST_PING: Ping = { type: 'ping', at: 0, version: -1, room: ROOM, progress: undefined };
 
 /** What the links ask of the agent's decisions. */
-function createCore(noteEcho: () => void): AgentCore {
+function createCore(handlePong: () => void): Executor {
   const core = {
     buildHello: () => HELLO,
     buildPing: () => FIRST_PING,
-    noteWelcome: () => undefined,
-    setHome: () => undefined,
-    noteEcho,
+    handleWelcome: () => undefined,
+    setPreferred: () => undefined,
+    handlePong,
     countHeld: () => 0,
-    takeRoomChange: () => ROOM,
-    noteDemand: () => undefined,
-    needsRoom: (_: string, isWaiting: boolean) => isWaiting,
-    hasPart: () => false,
+    takeCapacityChange: () => ROOM,
+    handleDemand: () => undefined,
+    needsCapacity: (_: string, isWaiting: boolean) => isWaiting,
+    hasShare: () => false,
   };
-  return core as unknown as AgentCore;
+  return core as unknown as Executor;
 }
 
 describe('EntryLinks', () => {
   let listener: PeerListener;
-  let links: EntryLinks;
+  let links: DispatcherLinks;
   let entry: LineChannel;
   let received: string[];
   let logged: string[];
@@ -106,8 +106,8 @@
       readSteady: () => steady.now(),
       sleep: (ms) => steady.sleep(ms),
     };
-    links = new EntryLinks(options, core, clock, log, () => 0.5);
-    links.noteSeeds([`${HOST}:1`]);
+    links = new DispatcherLinks(options, core, clock, log, () => 0.5);
+    links.recordSeeds([`${HOST}:1`]);
     await waitFor('ping');
   });
 
@@ -120,19 +120,19 @@
     entry.send({ type: 'demand' });
     await waitFor('room');
     received.length = 0;
-    links.scheduleRoom();
+    links.scheduleCapacityReports();
     await waitFor('room');
   });
 
   it('leaves room to the next ping where no tasks wait', async () => {
-    links.scheduleRoom();
+    links.scheduleCapacityReports();
     await sleep(QUIET_MS);
     expect(received).to.not.include('room');
   });
 
   it('tells a changed capacity at once, also where no tasks wait', async () => {
     received.length = 0;
-    links.tellCapacity();
+    links.sendCapacity();
     await waitFor('room');
   });
 
@@ -142,7 +142,7 @@
     entry.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
     await waitFor('echo');
     received.length = 0;
-    links.scheduleRoom();
+    links.scheduleCapacityReports();
     await sleep(QUIET_MS);
     expect(received).to.not.include('room');
   });
--- a/src/process/executor/EntryLinks.ts
+++ b/src/process/executor/DispatcherLinks.ts
@@ -10,16 +10,16 @@
   AttemptResult,
   CrashNotice,
   DemandNotice,
-  EntryWelcome,
+  DispatcherWelcome,
   PeerMessage,
 } from '../../connection/peer/peerMessages.js';
 import { splitAddress } from '../../connection/splitAddress.js';
 import type { LogFields } from '../logger.js';
 import { OperatorExchange } from '../OperatorExchange.js';
 import type { EmptiedDomains } from '../../version/emptiedDomains.js';
-import type { AgentCore } from './AgentCore.js';
-import { EntryDirectory } from './EntryDirectory.js';
-import { RoomPacer } from './RoomPacer.js';
+import type { Executor } from './Executor.js';
+import { DispatcherDirectory } from './DispatcherDirectory.js';
+import { CapacityReportLimiter } from './CapacityReportLimiter.js';
 
 /** How long a link that is not wanted any more is kept at least, so that its entry has heard of it, ms. */
 const RETIRE_MS = 600;
@@ -46,7 +46,7 @@
 const FIRST_ECHO_MS = 170;
 
 /** Parameters of the links. */
-export interface EntryLinksOptions {
+export interface DispatcherLinksOptions {
   /** Process id of the agent. */
   readonly agent: string;
   readonly failureDomain: string;
@@ -61,14 +61,14 @@
   readonly linkMbps: number;
 }
 
-interface EntryLink {
+interface DispatcherLink {
   readonly address: string;
   readonly channel: LineChannel;
   /** When our hello was sent. */
   readonly openedAt: number;
   /** Life of the entry; empty until it has said so. */
   life: string;
-  readonly pacer: RoomPacer;
+  readonly pacer: CapacityReportLimiter;
   /** Time that the newest echo took, ms; undefined before the first. */
   echoMs: number | undefined;
   roomTimer: NodeJS.Timeout | undefined;
@@ -82,30 +82,30 @@
 }
 
 /** Links of one agent. */
-export class EntryLinks {
-  private readonly directory: EntryDirectory;
+export class DispatcherLinks {
+  private readonly directory: DispatcherDirectory;
   private readonly dialer: PeerDialer;
   private readonly exchange: OperatorExchange;
-  private readonly links = new Map<string, EntryLink>();
+  private readonly links = new Map<string, DispatcherLink>();
   /** Life of the entry last met at each address. */
-  private readonly lives = new Map<string, string>();
+  private readonly incarnations = new Map<string, string>();
 
   constructor(
-    private readonly options: EntryLinksOptions,
-    private readonly core: AgentCore,
+    private readonly options: DispatcherLinksOptions,
+    private readonly core: Executor,
     private readonly clock: Clock,
     private readonly log: (event: string, fields: LogFields) => void,
     nextRandom: () => number,
   ) {
-    this.directory = new EntryDirectory(options.agent, options.maxLinks, options.smallFleet);
+    this.directory = new DispatcherDirectory(options.agent, options.maxLinks, options.smallFleet);
     const { linkMbps } = options;
     this.exchange = new OperatorExchange(
       {
         changeConfiguration: () => undefined,
-        changeEmptied: (emptied) => this.noteEmptied(emptied),
+        changeEmptied: (emptied) => this.handleEmptied(emptied),
         keepConfiguration: (version, before) => this.log('configuration-kept', { version, before }),
-        noteServices: (version, services) => this.log('services-known', { version, services }),
-        noteFault: (version, problem) => this.log('configuration-unavailable', { version, problem }),
+        recordServices: (version, services) => this.log('services-known', { version, services }),
+        recordFault: (version, problem) => this.log('configuration-unavailable', { version, problem }),
       },
       { usesRoutes: false, linkMbps, timeline: new ClockTimeline(clock), nextRandom },
     );
@@ -128,17 +128,17 @@
   }
 
   /** Takes the VMs that the settings name, `host:port`; only the host is used. */
-  noteSeeds(seeds: readonly string[]): void {
+  recordSeeds(seeds: readonly string[]): void {
     const { linkPort } = this.options;
     const addresses = seeds.map((seed) => `${splitAddress(seed).host}:${linkPort}`);
-    this.directory.noteSeeds(addresses, this.clock.now());
+    this.directory.recordSeeds(addresses, this.clock.now());
     this.keep();
   }
 
   /** This process stood still. */
-  notePause(): void {
-    this.directory.notePause(this.clock.now());
-    this.dialer.notePause();
+  handlePause(): void {
+    this.directory.handlePause(this.clock.now());
+    this.dialer.handlePause();
   }
 
   /** Dials what is wanted, and gives up what is not wanted any more or says nothing. */
@@ -148,7 +148,7 @@
     const wanted = this.directory.chooseLinks(now);
     for (const address of wanted) this.dialer.keep(address);
     for (const address of this.dialer.addresses) this.review(address, wanted.has(address), now);
-    this.keepHome(now);
+    this.updatePreferred(now);
   }
 
   /** Pings the entries whose newest ping is old, and dials those anew whose echo is overdue. */
@@ -167,7 +167,7 @@
       link.channel.send(result);
       if (link.isRoomDue) return;
       link.isRoomDue = true;
-      process.nextTick(() => this.tellRoom(link));
+      process.nextTick(() => this.sendCapacityChange(link));
     }
   }
 
@@ -181,26 +181,26 @@
    * others hear of it with the next ping; they have room enough for what comes to them until then, or begin to wait and
    * say so.
    */
-  scheduleRoom(): void {
+  scheduleCapacityReports(): void {
     const now = this.clock.now();
     const due = [...this.links.values()].filter(
-      ({ life, isWaiting }) => life !== '' && this.core.needsRoom(life, isWaiting),
+      ({ life, isWaiting }) => life !== '' && this.core.needsCapacity(life, isWaiting),
     );
     for (const link of due) {
       const { life, pacer } = link;
-      const isPart = this.core.hasPart(life);
-      const waitMs = isPart ? pacer.findPartWait(now, due.length) : pacer.findWait(now, due.length);
-      link.roomTimer ??= setTimeout(() => this.tellRoom(link), waitMs);
+      const isPart = this.core.hasShare(life);
+      const waitMs = isPart ? pacer.findShareWait(now, due.length) : pacer.findWait(now, due.length);
+      link.roomTimer ??= setTimeout(() => this.sendCapacityChange(link), waitMs);
     }
   }
 
   /** Capacity has changed: tells it at once on all links, as entries count on what they were told. */
-  tellCapacity(): void {
-    for (const link of this.links.values()) if (link.life !== '') this.tellRoom(link);
+  sendCapacity(): void {
+    for (const link of this.links.values()) if (link.life !== '') this.sendCapacityChange(link);
   }
 
   /** Tells every entry which ones this agent has a working link to. */
-  tellMembers(): void {
+  sendMembers(): void {
     const entries = this.directory.listAlive(this.clock.now());
     for (const { channel } of this.links.values()) channel.send({ type: 'members', entries });
   }
@@ -211,15 +211,15 @@
   }
 
   /** Keeps to the entry that is preferred while it answers and its link is wanted. */
-  private keepHome(now: number): void {
+  private updatePreferred(now: number): void {
     const links = [...this.links.values()].filter(
       ({ life, retiringSince }) => life !== '' && retiringSince === undefined,
     );
-    const home = this.directory.chooseHome(
+    const home = this.directory.choosePreferred(
       links.map(({ address }) => address),
       now,
     );
-    this.core.setHome(home === undefined ? '' : (this.links.get(home)?.life ?? ''));
+    this.core.setPreferred(home === undefined ? '' : (this.links.get(home)?.life ?? ''));
   }
 
   private review(address: string, isWanted: boolean, now: number): void {
@@ -234,18 +234,18 @@
     this.dialer.forget(address);
   }
 
-  private reviewWanted(link: EntryLink, now: number): void {
+  private reviewWanted(link: DispatcherLink, now: number): void {
     if (link.retiringSince !== undefined) this.setRetiring(link, undefined);
     if (link.life === '' && now - link.openedAt > SILENT_OPENING_MS)
       this.dialer.renew(link.address, 'silent');
   }
 
-  private setRetiring(link: EntryLink, since: number | undefined): void {
+  private setRetiring(link: DispatcherLink, since: number | undefined): void {
     link.retiringSince = since;
     this.log('entry-retiring', { address: link.address, retiring: since !== undefined });
     if (link.life === '') return;
     this.core.setRetiring(link.life, since !== undefined);
-    this.tellRoom(link);
+    this.sendCapacityChange(link);
   }
 
   private open(address: string, channel: LineChannel): void {
@@ -254,7 +254,7 @@
       channel,
       openedAt: this.clock.now(),
       life: '',
-      pacer: new RoomPacer(),
+      pacer: new CapacityReportLimiter(),
       echoMs: undefined,
       roomTimer: undefined,
       isRoomDue: false,
@@ -262,14 +262,14 @@
       pingedAt: -Infinity,
       retiringSince: undefined,
     });
-    channel.send(this.core.buildHello(this.lives.get(address) ?? ''));
+    channel.send(this.core.buildHello(this.incarnations.get(address) ?? ''));
   }
 
   private closeLink(address: string, reason: string): void {
     const link = this.links.get(address);
     clearTimeout(link?.roomTimer);
     this.links.delete(address);
-    if (link) this.exchange.noteClosed(link.channel);
+    if (link) this.exchange.handleClosed(link.channel);
     const life = link?.life ?? '';
     const silentMs = Math.round(this.directory.findSilence(address, this.clock.now()));
     this.log('entry-unlinked', { address, life, reason, silentMs, held: this.core.countHeld(life) });
@@ -279,76 +279,76 @@
     const link = this.links.get(address);
     if (!link) return;
     const now = this.clock.now();
-    if (message.type === 'entry-welcome') return this.noteWelcome(link, message, now);
-    if (message.type === 'members') return this.directory.noteMembers(message.entries, now);
+    if (message.type === 'entry-welcome') return this.handleWelcome(link, message, now);
+    if (message.type === 'members') return this.directory.recordMembers(message.entries, now);
     if (this.exchange.receive(message, link.channel)) return;
     if (link.life === '') return;
     if (message.type === 'start') return this.core.handleStart(link.life, message);
     if (message.type === 'stop') return this.core.handleStop(link.life, message);
-    if (message.type === 'demand') return this.noteDemand(link, message);
+    if (message.type === 'demand') return this.handleDemand(link, message);
     if (message.type !== 'pong') return;
     link.isWaiting = message.isWaiting;
-    this.directory.noteAlive(address, now);
+    this.directory.recordAlive(address, now);
     link.echoMs = Math.round(now - message.at);
-    link.pacer.noteEcho(link.echoMs);
-    this.dialer.noteEcho(address, message.at);
-    this.core.noteEcho(link.life, message);
+    link.pacer.recordRoundTrip(link.echoMs);
+    this.dialer.recordPong(address, message.at);
+    this.core.handlePong(link.life, message);
     this.exchange.compareVersions(message, link.channel, now);
   }
 
-  private noteWelcome(link: EntryLink, { life, place }: EntryWelcome, now: number): void {
+  private handleWelcome(link: DispatcherLink, { life, place }: DispatcherWelcome, now: number): void {
     const { address } = link;
-    const before = this.lives.get(address);
-    if (before !== undefined && before !== life) this.core.noteEntryReplaced(before);
-    this.lives.set(address, life);
+    const before = this.incarnations.get(address);
+    if (before !== undefined && before !== life) this.core.handleDispatcherReplaced(before);
+    this.incarnations.set(address, life);
     link.life = life;
     this.log('entry-linked', { address, life, before });
-    this.directory.noteMembers([{ ...place, address }], now);
-    this.directory.noteAlive(address, now);
-    this.core.noteWelcome(life, link.openedAt);
+    this.directory.recordMembers([{ ...place, address }], now);
+    this.directory.recordAlive(address, now);
+    this.core.handleWelcome(life, link.openedAt);
     if (link.retiringSince !== undefined) this.core.setRetiring(life, true);
     this.sendPing(link, now);
-    this.tellMembers();
+    this.sendMembers();
   }
 
-  private noteEmptied({ domains, revision }: EmptiedDomains): void {
+  private handleEmptied({ domains, revision }: EmptiedDomains): void {
     const isEmptied = domains.includes(this.options.failureDomain);
     this.log('emptied-domains', { emptied: domains, revision, isEmptied });
     this.core.setEmptied(isEmptied);
   }
 
-  private noteDemand(link: EntryLink, notice: DemandNotice): void {
+  private handleDemand(link: DispatcherLink, notice: DemandNotice): void {
     link.isWaiting = true;
-    this.core.noteDemand(link.life, notice);
-    this.tellRoom(link);
+    this.core.handleDemand(link.life, notice);
+    this.sendCapacityChange(link);
   }
 
-  private tellRoom(link: EntryLink): void {
+  private sendCapacityChange(link: DispatcherLink): void {
     clearTimeout(link.roomTimer);
     link.roomTimer = undefined;
     link.isRoomDue = false;
     const now = this.clock.now();
     if (this.isPingDue(link, now)) return this.sendPing(link, now);
-    const room = this.core.takeRoomChange(link.life);
+    const room = this.core.takeCapacityChange(link.life);
     if (!room) return;
-    link.pacer.noteTold(now);
+    link.pacer.recordReport(now);
     link.channel.send({ type: 'room', at: Math.floor(now), room });
   }
 
-  private isPingDue(link: EntryLink, now: number): boolean {
+  private isPingDue(link: DispatcherLink, now: number): boolean {
     return this.isOlderPing(link, now, PING_DUE);
   }
 
   /** Whether the newest ping of a link is older than so many ping intervals. */
-  private isOlderPing({ life, pingedAt }: EntryLink, now: number, intervals: number): boolean {
+  private isOlderPing({ life, pingedAt }: DispatcherLink, now: number, intervals: number): boolean {
     return life !== '' && now - pingedAt >= this.options.pingMs * intervals;
   }
 
   /** A ping tells the room as well, so that it stands for a change of room that is due. */
-  private sendPing(link: EntryLink, now: number): void {
+  private sendPing(link: DispatcherLink, now: number): void {
     link.pingedAt = now;
-    this.dialer.notePing(link.address);
-    link.pacer.noteTold(now);
+    this.dialer.recordPing(link.address);
+    link.pacer.recordReport(now);
     const { version, emptiedRevision } = this.exchange.versions;
     const { echoMs } = link;
     link.channel.send({ ...this.core.buildPing(link.life, version), emptiedRevision, echoMs });
--- a/src/process/executor/AgentCore.test.ts
+++ b/src/process/executor/Executor.test.ts
@@ -7,7 +7,7 @@
   buildUpstreamReport,
   UPSTREAM_CAPACITY,
 } from '../../../test/fakes/upstreamFixtures.js';
-import { AgentCore } from './AgentCore.js';
+import { Executor } from './Executor.js';
 
 const VERSION = 7;
 const ENTRY = 'entry@1';
@@ -16,7 +16,7 @@
 describe('AgentCore', () => {
   let clock: FakeClock;
   let upstream: FakeUpstream;
-  let core: AgentCore;
+  let core: Executor;
   /** Lives of the upstream that answer for themselves; the others are `upstream`. */
   let otherLives: Map<string, FakeUpstream>;
   let results: string[];
@@ -25,7 +25,7 @@
 
   function report(id: string, sequence: number, capacity = UPSTREAM_CAPACITY): void {
     const { clockMs } = upstream;
-    core.noteReport(buildUpstreamReport({ id, sequence, clockMs, labels: ['rack'], capacity }));
+    core.handleReport(buildUpstreamReport({ id, sequence, clockMs, labels: ['rack'], capacity }));
   }
 
   beforeEach(async () => {
@@ -34,23 +34,23 @@
     otherLives = new Map();
     results = [];
     told = [];
-    core = new AgentCore(
+    core = new Executor(
       { agent: 'agent', life: '1', failureDomain: 'x', startedAt: 1_000_000 },
       { leaseMs: 500, maxLeaseMs: 1_000, stopMs: 50, orphanAfterMs: 10_000 },
       clock,
       {
-        openExecutor: ({ id }) => otherLives.get(id) ?? upstream,
+        openApi: ({ id }) => otherLives.get(id) ?? upstream,
         sendResult: (_, { end, reason }) => void results.push(`${end} ${reason}`),
         sendCrashes: (life, { tasks }) => void results.push(`${life} crashes ${tasks.length}`),
-        noteJoined: () => undefined,
-        noteChange: () => undefined,
-        noteCapacity: ({ capacity }) => void told.push(capacity.cpuMilli),
+        handleJoined: () => undefined,
+        handleChange: () => undefined,
+        handleCapacityChange: ({ capacity }) => void told.push(capacity.cpuMilli),
         log: () => undefined,
       },
     );
     report('u1', 1);
     await clock.advance(20);
-    core.noteWelcome(ENTRY, clock.now());
+    core.handleWelcome(ENTRY, clock.now());
   });
 
   afterEach(() => core.close());
@@ -66,44 +66,44 @@
       progress: undefined,
     });
     core.handleStart(ENTRY, ORDER);
-    const change = core.takeRoomChange(ENTRY);
+    const change = core.takeCapacityChange(ENTRY);
     expect(change?.description).to.equal(undefined);
     expect(change?.free.cpuMilli).to.equal(3_000);
-    expect(core.takeRoomChange(ENTRY)).to.equal(undefined);
+    expect(core.takeCapacityChange(ENTRY)).to.equal(undefined);
   });
 
   it('tells the entry that it prefers, and only that one, with its room', () => {
     const other = 'entry-2@1';
     core.buildPing(ENTRY, VERSION);
     core.buildPing(other, VERSION);
-    core.setHome(ENTRY);
+    core.setPreferred(ENTRY);
     expect(core.buildPing(ENTRY, VERSION).room?.isHome).to.equal(true);
     expect(core.buildPing(other, VERSION).room).to.equal(undefined);
-    core.setHome(other);
+    core.setPreferred(other);
     expect(core.buildPing(ENTRY, VERSION).room?.isHome).to.equal(undefined);
     expect(core.buildPing(other, VERSION).room?.isHome).to.equal(true);
   });
 
   it('tells a new link everything', () => {
     core.buildPing(ENTRY, VERSION);
-    core.noteWelcome(ENTRY, clock.now());
+    core.handleWelcome(ENTRY, clock.now());
     expect(core.buildPing(ENTRY, VERSION).room?.description?.labels).to.deep.equal(['rack']);
   });
 
   it('tells each entry its room on its own', () => {
     core.buildPing(ENTRY, VERSION);
-    core.noteWelcome('other@1', clock.now());
+    core.handleWelcome('other@1', clock.now());
     expect(core.buildPing('other@1', VERSION).room?.description?.upstream).to.equal('u1');
   });
 
   it('tells the room again after a result, even if it is as before', async () => {
     upstream.taskMs = 40;
     core.handleStart(ENTRY, ORDER);
-    expect(core.takeRoomChange(ENTRY)?.free.cpuMilli).to.equal(3_000);
-    core.noteWelcome('other@1', clock.now());
+    expect(core.takeCapacityChange(ENTRY)?.free.cpuMilli).to.equal(3_000);
+    core.handleWelcome('other@1', clock.now());
     await clock.advance(200);
     core.handleStart('other@1', { ...ORDER, name: { ...ORDER.name, job: 'another' } });
-    const again = core.takeRoomChange(ENTRY);
+    const again = core.takeCapacityChange(ENTRY);
     expect([again?.free.cpuMilli, again?.startsSeen]).to.deep.equal([3_000, 1]);
   });
 
@@ -135,7 +135,7 @@
     report('u2', 1);
     await clock.advance(300);
     expect(results.map((result) => result.split(' ')[0])).to.deep.equal(['lost']);
-    expect(core.takeRoomChange(ENTRY)?.description?.upstream).to.equal('u2');
+    expect(core.takeCapacityChange(ENTRY)?.description?.upstream).to.equal('u2');
   });
 
   it('takes no new work from an entry whose link it gives up, and still runs what it holds', async () => {
@@ -143,10 +143,10 @@
     core.handleStart(ENTRY, ORDER);
     await clock.advance(20);
     core.setRetiring(ENTRY, true);
-    expect(core.takeRoomChange(ENTRY)?.state).to.equal('draining');
+    expect(core.takeCapacityChange(ENTRY)?.state).to.equal('draining');
     expect(core.countHeld(ENTRY)).to.equal(1);
     core.setRetiring(ENTRY, false);
-    expect(core.takeRoomChange(ENTRY)?.state).to.equal('ready');
+    expect(core.takeCapacityChange(ENTRY)?.state).to.equal('ready');
   });
 
   it('tells progress only of what stands still or crawls', async () => {
@@ -154,7 +154,7 @@
     core.handleStart(ENTRY, ORDER);
     for (let ms = 0; ms < 300; ms += 20) {
       await clock.advance(20);
-      core.noteEcho(ENTRY, {
+      core.handlePong(ENTRY, {
         type: 'pong',
         version: VERSION,
         at: clock.now(),
@@ -163,7 +163,7 @@
       });
     }
     expect(core.buildPing(ENTRY, VERSION).progress?.length ?? 0).to.equal(0);
-    core.noteEcho(ENTRY, {
+    core.handlePong(ENTRY, {
       type: 'pong',
       version: VERSION,
       at: clock.now(),
@@ -173,7 +173,7 @@
     expect(core.buildPing(ENTRY, VERSION).progress?.map(({ name }) => name)).to.deep.equal([ORDER.name]);
     upstream.hangs = true;
     await clock.advance(300);
-    core.noteEcho(ENTRY, {
+    core.handlePong(ENTRY, {
       type: 'pong',
       version: VERSION,
       at: clock.now(),
@@ -225,8 +225,8 @@
     const heir = 'entry-2@1';
     core.handleStart(ENTRY, ORDER);
     await clock.advance(20);
-    core.noteWelcome(heir, clock.now());
-    core.noteEntryReplaced(ENTRY);
+    core.handleWelcome(heir, clock.now());
+    core.handleDispatcherReplaced(ENTRY);
     upstream.refuses = true;
     await clock.advance(1_500);
     core.tick();
@@ -235,13 +235,13 @@
   });
 
   it('tells nobody else of a crash that the entry has heard of', async () => {
-    core.noteWelcome('entry-2@1', clock.now());
+    core.handleWelcome('entry-2@1', clock.now());
     core.handleStart(ENTRY, ORDER);
     await clock.advance(20);
     upstream.refuses = true;
     await clock.advance(1_500);
-    core.noteEcho(ENTRY, { type: 'pong', at: clock.now(), version: 1, typicalSpeed: 1, isWaiting: false });
-    core.noteEntryReplaced(ENTRY);
+    core.handlePong(ENTRY, { type: 'pong', at: clock.now(), version: 1, typicalSpeed: 1, isWaiting: false });
+    core.handleDispatcherReplaced(ENTRY);
     expect(results).to.deep.equal(['lost upstream-crashed']);
   });
 
@@ -249,7 +249,7 @@
     core.buildPing(ENTRY, VERSION);
     report('u1', 2, { ...UPSTREAM_CAPACITY, cpuMilli: 1_000 });
     expect(told).to.deep.equal([1_000]);
-    const change = core.takeRoomChange(ENTRY);
+    const change = core.takeCapacityChange(ENTRY);
     expect([change?.free.cpuMilli, change?.description?.capacity.cpuMilli]).to.deep.equal([1_000, 1_000]);
     report('u1', 3, { ...UPSTREAM_CAPACITY, cpuMilli: 1_000 });
     expect(told).to.have.length(1);
--- a/src/process/executor/AgentCore.ts
+++ b/src/process/executor/Executor.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../../_lib/Clock.js';
 import { buildTaskKey, OTHER_SUSPECT, UPSTREAM_CRASHED } from '../../connection/peer/peerMessages.js';
 import type {
-  AgentHello,
+  ExecutorHello,
   AttemptProgress,
   AttemptResult,
   CrashedTask,
@@ -15,22 +15,22 @@
   DemandNotice,
   Ping,
   Pong,
-  RoomReport,
+  CapacityReport,
   StartOrder,
   StopOrder,
   UpstreamDescription,
 } from '../../connection/peer/peerMessages.js';
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
-import type { TaskExecutor } from '../../ports/TaskExecutor.js';
+import type { UpstreamApi } from '../../ports/UpstreamApi.js';
 import { NO_RESOURCES } from '../../request/dispatch/resources.js';
 import type { Resources } from '../../request/dispatch/submission.js';
 import { roundSpeed } from '../roundSpeed.js';
-import type { RoomSharingKind } from '../settings/dispatchSettings.js';
+import type { CapacitySharingKind } from '../settings/dispatchSettings.js';
 import { FencingTokens } from './FencingTokens.js';
 import type { LocalTask } from './localTask.js';
-import { RoomShares } from './RoomShares.js';
-import type { RoomEntry } from './RoomShares.js';
-import { UpstreamLives } from './UpstreamLives.js';
+import { CapacityShares } from './CapacityShares.js';
+import type { DispatcherUsage } from './CapacityShares.js';
+import { UpstreamIncarnations } from './UpstreamIncarnations.js';
 import { UpstreamSession } from './UpstreamSession.js';
 import type { SessionBounds } from './sessionEvents.js';
 
@@ -46,37 +46,37 @@
 const SILENT_PART = 0.6;
 
 /** Times the agent keeps to, ms. */
-export interface AgentBounds extends SessionBounds {
+export interface ExecutorBounds extends SessionBounds {
   /** Age of an entry's newest echo from which on its work is stopped. */
   readonly orphanAfterMs: number;
 }
 
 /** What the core has its process do. */
-export interface AgentEffects {
-  readonly openExecutor: (report: UpstreamReport) => TaskExecutor;
+export interface ExecutorEffects {
+  readonly openApi: (report: UpstreamReport) => UpstreamApi;
   /** Sends a result to the entry's link, if it has one. */
   readonly sendResult: (entryLife: string, result: AttemptResult) => void;
   /** Sends crashes to the link of an entry that did not order the tasks. */
   readonly sendCrashes: (entryLife: string, notice: CrashNotice) => void;
   /** A life of an upstream takes work for the first time. */
-  readonly noteJoined: (report: UpstreamReport) => void;
+  readonly handleJoined: (report: UpstreamReport) => void;
   /** Room has changed. */
-  readonly noteChange: () => void;
+  readonly handleChange: () => void;
   /** The capacity of an upstream has changed. */
-  readonly noteCapacity: (report: UpstreamReport, before: Resources) => void;
+  readonly handleCapacityChange: (report: UpstreamReport, before: Resources) => void;
   /** An entry is told a part of the room. */
-  readonly notePart?: () => void;
+  readonly handleShareChange?: () => void;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-interface EntryProof {
+interface DispatcherLiveness {
   /** Our time of the newest ping that the entry has echoed. */
   provenAt: number;
   startsSeen: number;
   /** Typical speed of upstreams as the entry sees it. */
   typicalSpeed: number;
   /** What its link was last told; a new link has been told nothing. */
-  told: ToldRoom;
+  told: ReportedCapacity;
   /** Whether its link is to be given up, so that it must order nothing new. */
   isRetiring: boolean;
   results: KeptResult[];
@@ -91,7 +91,7 @@
 }
 
 /** What a link was last told. */
-interface ToldRoom {
+interface ReportedCapacity {
   readonly description: UpstreamDescription | undefined;
   /** All of the rest but room and starts, as text. */
   readonly status: string;
@@ -100,15 +100,15 @@
 }
 
 /** Decides for one agent. */
-export class AgentCore {
-  private readonly proofs = new Map<string, EntryProof>();
-  private readonly shares = new RoomShares();
-  private readonly lives: UpstreamLives;
+export class Executor {
+  private readonly liveness = new Map<string, DispatcherLiveness>();
+  private readonly shares = new CapacityShares();
+  private readonly incarnations: UpstreamIncarnations;
   private leaving = false;
   /** Whether the operators have emptied the agent's failure domain. */
   private isEmptied = false;
   /** Life of the entry that is preferred; empty for none. */
-  private homeLife = '';
+  private preferredIncarnation = '';
 
   constructor(
     private readonly identity: {
@@ -118,32 +118,37 @@
       /** Time of day at which this life began, Unix ms. */
       readonly startedAt: number;
     },
-    private readonly bounds: AgentBounds,
+    private readonly bounds: ExecutorBounds,
     private readonly clock: Clock,
-    private readonly effects: AgentEffects,
-    private readonly sharing: RoomSharingKind = 'open',
+    private readonly effects: ExecutorEffects,
+    private readonly sharing: CapacitySharingKind = 'open',
   ) {
-    this.lives = new UpstreamLives(clock, new FencingTokens(identity.startedAt, clock), bounds, {
-      openExecutor: effects.openExecutor,
-      noteJoined: effects.noteJoined,
-      finish: (task, end, reason) => this.finish(task, end, reason),
-      change: () => effects.noteChange(),
-      changeCapacity: (report, before) => effects.noteCapacity(report, before),
-      revalidate: (now) => this.expireEntries(now),
-      log: effects.log,
-    });
+    this.incarnations = new UpstreamIncarnations(
+      clock,
+      new FencingTokens(identity.startedAt, clock),
+      bounds,
+      {
+        openApi: effects.openApi,
+        handleJoined: effects.handleJoined,
+        finish: (task, end, reason) => this.finish(task, end, reason),
+        change: () => effects.handleChange(),
+        changeCapacity: (report, before) => effects.handleCapacityChange(report, before),
+        revalidate: (now) => this.expireDispatchers(now),
+        log: effects.log,
+      },
+    );
   }
 
   /** Tasks that wait or may run. */
   get load(): number {
     let load = 0;
-    for (const session of this.lives.list()) load += session.load;
+    for (const session of this.incarnations.list()) load += session.load;
     return load;
   }
 
   /** An upstream has reported. */
-  noteReport(report: UpstreamReport): void {
-    this.lives.noteReport(report);
+  handleReport(report: UpstreamReport): void {
+    this.incarnations.handleReport(report);
   }
 
   /**
@@ -152,41 +157,41 @@
    * @param upstreamId - of the upstream
    * @param bornAt - which life; undefined where it does not say
    */
-  noteLeave(upstreamId: string, bornAt: number | undefined): void {
-    this.lives.noteLeave(upstreamId, bornAt);
+  handleLeave(upstreamId: string, bornAt: number | undefined): void {
+    this.incarnations.handleLeave(upstreamId, bornAt);
   }
 
   /** A link to an entry is open and the entry has said which life it is. */
-  noteWelcome(entryLife: string, provenAt: number): void {
-    const proof = this.prove(entryLife, provenAt);
+  handleWelcome(entryLife: string, provenAt: number): void {
+    const proof = this.recordLiveness(entryLife, provenAt);
     proof.startsSeen = 0;
     proof.told = NOTHING_TOLD;
     proof.isRetiring = false;
-    this.shares.noteLinked(entryLife);
+    this.shares.handleLinked(entryLife);
   }
 
   /** The link to an entry is to be given up once it has nothing here, or kept after all. */
   setRetiring(entryLife: string, isRetiring: boolean): void {
-    this.findProof(entryLife, -Infinity).isRetiring = isRetiring;
+    this.findLiveness(entryLife, -Infinity).isRetiring = isRetiring;
   }
 
   /** Takes the life of the entry that is preferred to others; empty for none. Entries hear of it with their room. */
-  setHome(entryLife: string): void {
-    this.homeLife = entryLife;
+  setPreferred(entryLife: string): void {
+    this.preferredIncarnation = entryLife;
   }
 
   /** Attempts that are held for an entry. */
   countHeld(entryLife: string): number {
     let held = 0;
-    for (const session of this.lives.list()) held += session.listHeld(entryLife).length;
+    for (const session of this.incarnations.list()) held += session.listHeld(entryLife).length;
     return held;
   }
 
   /** An earlier life of an entry is over for sure. */
-  noteEntryReplaced(entryLife: string): void {
-    this.stopEntry(entryLife, 'entry-replaced');
+  handleDispatcherReplaced(entryLife: string): void {
+    this.stopDispatcher(entryLife, 'entry-replaced');
     this.deliverCrashes(entryLife);
-    this.proofs.delete(entryLife);
+    this.liveness.delete(entryLife);
     this.shares.forget(entryLife);
   }
 
@@ -196,13 +201,13 @@
   }
 
   /** Tasks have begun to wait at an entry. */
-  noteDemand(entryLife: string, { waitingCpuMilli }: DemandNotice): void {
-    this.shares.noteDemand(entryLife, waitingCpuMilli);
+  handleDemand(entryLife: string, { waitingCpuMilli }: DemandNotice): void {
+    this.shares.recordDemand(entryLife, waitingCpuMilli);
   }
 
   /** Whether an entry is told a part of the room, as it tells its demand. */
-  hasPart(entryLife: string): boolean {
-    return this.sharing === 'demand' && this.shares.hasToldDemand(entryLife);
+  hasShare(entryLife: string): boolean {
+    return this.sharing === 'demand' && this.shares.hasReportedDemand(entryLife);
   }
 
   /**
@@ -211,34 +216,34 @@
    * @param entryLife - of the entry
    * @param isWaiting - whether tasks wait there
    */
-  needsRoom(entryLife: string, isWaiting: boolean): boolean {
-    if (!this.hasPart(entryLife)) return isWaiting;
+  needsCapacity(entryLife: string, isWaiting: boolean): boolean {
+    if (!this.hasShare(entryLife)) return isWaiting;
     const { cpuMilli } = this.free;
-    return this.shares.isDue(entryLife, cpuMilli, this.listRoomEntries(), this.clock.now());
+    return this.shares.isDue(entryLife, cpuMilli, this.listDispatcherUsage(), this.clock.now());
   }
 
   /** Entries at which tasks wait, and the processor room that those ask for, thousandths of a core. */
   get demand(): { readonly entries: number; readonly cpuMilli: number } {
-    return { entries: this.shares.waitingEntries, cpuMilli: this.shares.demand };
+    return { entries: this.shares.waitingDispatchers, cpuMilli: this.shares.demand };
   }
 
   /** The entry has echoed a ping. */
-  noteEcho(entryLife: string, { at, typicalSpeed, isWaiting, waitingCpuMilli }: Pong): void {
+  handlePong(entryLife: string, { at, typicalSpeed, isWaiting, waitingCpuMilli }: Pong): void {
     // The first echo of a link tells the amount; later ones leave it out while nothing waits.
-    const isOver = !isWaiting && this.shares.hasToldDemand(entryLife);
-    this.shares.noteDemand(entryLife, isOver ? 0 : waitingCpuMilli);
-    const proof = this.prove(entryLife, at);
+    const isOver = !isWaiting && this.shares.hasReportedDemand(entryLife);
+    this.shares.recordDemand(entryLife, isOver ? 0 : waitingCpuMilli);
+    const proof = this.recordLiveness(entryLife, at);
     proof.typicalSpeed = typicalSpeed;
   }
 
   /** Builds the first message of a link; `entryLife` is the life that was last met there. */
-  buildHello(entryLife: string): AgentHello {
-    const held = this.lives.list().flatMap((session) => session.listHeld(entryLife));
+  buildHello(entryLife: string): ExecutorHello {
+    const held = this.incarnations.list().flatMap((session) => session.listHeld(entryLife));
     const { agent, life, failureDomain } = this.identity;
     const { leaseMs, stopMs, orphanAfterMs } = this.bounds;
     const orphanMs = orphanAfterMs + leaseMs * 1.05 + stopMs + ORPHAN_MARGIN_MS;
     const holding = held.map(({ order }) => order.name);
-    const results = (this.proofs.get(entryLife)?.results ?? []).map(({ result }) => result);
+    const results = (this.liveness.get(entryLife)?.results ?? []).map(({ result }) => result);
     const takesBatches = true;
     return {
       type: 'agent-hello',
@@ -256,21 +261,21 @@
   /** An entry orders a task. */
   handleStart(entryLife: string, order: StartOrder): void {
     const now = this.clock.now();
-    this.expireEntries(now);
-    const proof = this.findProof(entryLife, -Infinity);
+    this.expireDispatchers(now);
+    const proof = this.findLiveness(entryLife, -Infinity);
     proof.startsSeen += 1;
     const refusal = this.findRefusal(order, proof, now);
     if (refusal instanceof UpstreamSession) {
-      this.shares.noteStart(entryLife, order.resources.cpuMilli, now);
+      this.shares.recordStart(entryLife, order.resources.cpuMilli, now);
       return refusal.offer(order, entryLife);
     }
-    this.tellResult(entryLife, { type: 'result', name: order.name, end: 'not-run', reason: refusal });
+    this.sendResult(entryLife, { type: 'result', name: order.name, end: 'not-run', reason: refusal });
   }
 
   /** An entry wants an attempt ended; if it is not here, its result has been told or never will be. */
   handleStop(entryLife: string, { name }: StopOrder): void {
     const key = buildTaskKey(name);
-    for (const session of this.lives.list()) {
+    for (const session of this.incarnations.list()) {
       if (session.stop(key, name.attempt, entryLife, 'stopped-by-entry')) return;
     }
   }
@@ -279,37 +284,37 @@
   buildPing(entryLife: string, version: number): Ping {
     const at = Math.floor(this.clock.now());
     const progress = this.listProgress(entryLife);
-    const room = this.takeRoomNews(entryLife, true);
+    const room = this.takeCapacityReport(entryLife, true);
     return { type: 'ping', at, version, room, progress: progress.length > 0 ? progress : undefined };
   }
 
   /** Returns the room if it is not what the entry's link was last told, and takes it for told. */
-  takeRoomChange(entryLife: string): RoomReport | undefined {
-    return this.takeRoomNews(entryLife, false);
+  takeCapacityChange(entryLife: string): CapacityReport | undefined {
+    return this.takeCapacityReport(entryLife, false);
   }
 
   /** Pings also tell which starts are counted; between them an entry's part is told if it does not know it. */
-  private takeRoomNews(entryLife: string, isPing: boolean): RoomReport | undefined {
-    const proof = this.findProof(entryLife, -Infinity);
+  private takeCapacityReport(entryLife: string, isPing: boolean): CapacityReport | undefined {
+    const proof = this.findLiveness(entryLife, -Infinity);
     const { description, ...status } = this.buildStatus(entryLife);
-    const { free, isKnown } = this.findToldRoom(entryLife, status.state);
+    const { free, isKnown } = this.findReportedCapacity(entryLife, status.state);
     const rest = { ...status, free, startsSeen: proof.startsSeen };
     const told = { description, status: JSON.stringify(status), room: JSON.stringify(rest) };
     const isNew = description !== proof.told.description;
     if (!isNew && told.room === proof.told.room) return undefined;
     const isExpected = isKnown && proof.told.room !== '' && told.status === proof.told.status;
     if (!isNew && !isPing && isExpected) return undefined;
-    if (this.hasPart(entryLife) && status.state === 'ready') this.effects.notePart?.();
+    if (this.hasShare(entryLife) && status.state === 'ready') this.effects.handleShareChange?.();
     proof.told = told;
     return { description: isNew ? description : undefined, ...rest };
   }
 
-  private buildStatus(entryLife: string): Omit<RoomReport, 'free' | 'startsSeen'> & {
+  private buildStatus(entryLife: string): Omit<CapacityReport, 'free' | 'startsSeen'> & {
     readonly description: UpstreamDescription;
   } {
-    const { isRetiring } = this.findProof(entryLife, -Infinity);
+    const { isRetiring } = this.findLiveness(entryLife, -Infinity);
     const session = this.findSession();
-    const isHome = entryLife === this.homeLife ? true : undefined;
+    const isHome = entryLife === this.preferredIncarnation ? true : undefined;
     if (!session) return { ...ABSENT_STATUS, isHome };
     return {
       description: session.description,
@@ -321,28 +326,33 @@
   }
 
   /** Room that an entry is told: its part, if it tells its demand. */
-  private findToldRoom(
+  private findReportedCapacity(
     entryLife: string,
-    state: RoomReport['state'],
+    state: CapacityReport['state'],
   ): { readonly free: Resources; readonly isKnown: boolean } {
     const { free } = this;
     // Where one task at a time is taken, an entry sees by all of the room whether there is one.
     const isWhole = state !== 'ready' || this.findSession()?.readTrust() !== 'healthy';
-    if (isWhole || !this.hasPart(entryLife)) return { free, isKnown: false };
-    const entries = this.listRoomEntries();
+    if (isWhole || !this.hasShare(entryLife)) return { free, isKnown: false };
+    const entries = this.listDispatcherUsage();
     if (!entries.some(({ life }) => life === entryLife)) return { free: NO_RESOURCES, isKnown: false };
-    const { cpuMilli, isKnown } = this.shares.tell(entryLife, free.cpuMilli, entries, this.clock.now());
+    const { cpuMilli, isKnown } = this.shares.reportShare(
+      entryLife,
+      free.cpuMilli,
+      entries,
+      this.clock.now(),
+    );
     return { free: { ...free, cpuMilli }, isKnown };
   }
 
   /** Entries that may be told room: those that live and whose links are to stay. */
-  private listRoomEntries(): RoomEntry[] {
+  private listDispatcherUsage(): DispatcherUsage[] {
     const now = this.clock.now();
     const used = this.findSession()?.sumUsed();
-    const entries: RoomEntry[] = [];
-    for (const [life, { provenAt, isRetiring }] of this.proofs) {
+    const entries: DispatcherUsage[] = [];
+    for (const [life, { provenAt, isRetiring }] of this.liveness) {
       if (isRetiring || now - provenAt > this.bounds.orphanAfterMs * SILENT_PART) continue;
-      entries.push({ life, used: used?.get(life) ?? 0, isHome: life === this.homeLife });
+      entries.push({ life, used: used?.get(life) ?? 0, isPreferred: life === this.preferredIncarnation });
     }
     return entries;
   }
@@ -350,9 +360,9 @@
   /** Attempts of an entry that stand still or crawl: only those may be moved. */
   private listProgress(entryLife: string): AttemptProgress[] {
     const now = this.clock.now();
-    const typicalSpeed = this.proofs.get(entryLife)?.typicalSpeed ?? 1;
+    const typicalSpeed = this.liveness.get(entryLife)?.typicalSpeed ?? 1;
     const progress: AttemptProgress[] = [];
-    for (const session of this.lives.list()) {
+    for (const session of this.incarnations.list()) {
       const crawls = session.readSpeed() < typicalSpeed * CRAWL_SHARE;
       for (const { phase, order, percent, percentAt } of session.listHeld(entryLife)) {
         const stalledMs = Math.round(now - percentAt);
@@ -366,14 +376,14 @@
   /** Does what time brings. */
   tick(): void {
     const now = this.clock.now();
-    this.expireEntries(now);
-    this.lives.tick(now);
+    this.expireDispatchers(now);
+    this.incarnations.tick(now);
   }
 
   /** Takes nothing new from now on. */
   leave(): void {
     this.leaving = true;
-    this.effects.noteChange();
+    this.effects.handleChange();
   }
 
   /**
@@ -383,32 +393,32 @@
   setEmptied(isEmptied: boolean): void {
     if (isEmptied === this.isEmptied) return;
     this.isEmptied = isEmptied;
-    if (isEmptied) for (const session of this.lives.list()) session.dropWaiting(DOMAIN_EMPTIED);
-    this.effects.noteChange();
+    if (isEmptied) for (const session of this.incarnations.list()) session.dropWaiting(DOMAIN_EMPTIED);
+    this.effects.handleChange();
   }
 
   /** Stops everything. */
   stopAll(reason: string): void {
-    for (const session of this.lives.list()) session.stopAll(reason);
+    for (const session of this.incarnations.list()) session.stopAll(reason);
   }
 
   /** Ends the sessions; what runs lapses. */
   close(): void {
-    for (const session of this.lives.list()) session.close('agent-ends');
+    for (const session of this.incarnations.list()) session.close('agent-ends');
   }
 
   /** Stops what belongs to entries that have not proved to be alive, before anything is renewed for them. */
-  private expireEntries(now: number): void {
-    for (const [life, proof] of this.proofs) {
+  private expireDispatchers(now: number): void {
+    for (const [life, proof] of this.liveness) {
       const ageMs = now - proof.provenAt;
       if (ageMs <= this.bounds.orphanAfterMs) continue;
-      const stopped = this.stopEntry(life, 'entry-silent');
+      const stopped = this.stopDispatcher(life, 'entry-silent');
       if (stopped > 0)
         this.effects.log('entry-silent', { entryLife: life, ageMs: Math.round(ageMs), stopped });
       this.deliverCrashes(life);
       while (proof.results[0] && now - proof.results[0].at > KEEP_RESULTS_MS) proof.results.shift();
       if (ageMs <= FORGET_ENTRY_MS) continue;
-      this.proofs.delete(life);
+      this.liveness.delete(life);
       this.shares.forget(life);
     }
   }
@@ -418,10 +428,10 @@
    * tasks will submit them again there.
    */
   private deliverCrashes(entryLife: string): void {
-    const proof = this.findProof(entryLife, -Infinity);
+    const proof = this.findLiveness(entryLife, -Infinity);
     const unheard = proof.results.filter(({ crash, at }) => crash && at > proof.provenAt);
     if (unheard.length === 0) return;
-    const heir = this.findProvenEntry(entryLife);
+    const heir = this.findLiveDispatcher(entryLife);
     if (heir === undefined) return;
     proof.results = proof.results.filter((kept) => !unheard.includes(kept));
     const tasks = unheard.flatMap(({ crash }) => crash ?? []);
@@ -430,21 +440,21 @@
   }
 
   /** The entry, other than this one, that has proved last to be alive. */
-  private findProvenEntry(other: string): string | undefined {
+  private findLiveDispatcher(other: string): string | undefined {
     const oldest = this.clock.now() - this.bounds.orphanAfterMs;
     let [best, bestAt]: [string | undefined, number] = [undefined, oldest];
-    for (const [life, { provenAt }] of this.proofs)
+    for (const [life, { provenAt }] of this.liveness)
       if (life !== other && provenAt > bestAt) [best, bestAt] = [life, provenAt];
     return best;
   }
 
-  private stopEntry(entryLife: string, reason: string): number {
+  private stopDispatcher(entryLife: string, reason: string): number {
     let stopped = 0;
-    for (const session of this.lives.list()) stopped += session.stopOwner(entryLife, reason);
+    for (const session of this.incarnations.list()) stopped += session.stopOwner(entryLife, reason);
     return stopped;
   }
 
-  private findRefusal(order: StartOrder, proof: EntryProof, now: number): string | UpstreamSession {
+  private findRefusal(order: StartOrder, proof: DispatcherLiveness, now: number): string | UpstreamSession {
     if (this.leaving) return 'leaving';
     if (this.isEmptied) return DOMAIN_EMPTIED;
     if (now > order.expiresAt) return 'expired';
@@ -459,7 +469,7 @@
   /** The upstream that takes work: a ready one before one that joins or drains. */
   private findSession(): UpstreamSession | undefined {
     let best: UpstreamSession | undefined;
-    for (const session of this.lives.list()) {
+    for (const session of this.incarnations.list()) {
       if (session.isClosed) continue;
       if (!best || STATE_ORDER.indexOf(session.state) < STATE_ORDER.indexOf(best.state)) best = session;
     }
@@ -467,16 +477,16 @@
   }
 
   /** Takes a newer proof; it counts for what is ordered from now on, and not for what it comes too late for. */
-  private prove(entryLife: string, provenAt: number): EntryProof {
-    this.expireEntries(this.clock.now());
-    const proof = this.findProof(entryLife, provenAt);
+  private recordLiveness(entryLife: string, provenAt: number): DispatcherLiveness {
+    this.expireDispatchers(this.clock.now());
+    const proof = this.findLiveness(entryLife, provenAt);
     proof.provenAt = Math.max(proof.provenAt, provenAt);
     return proof;
   }
 
-  private findProof(entryLife: string, provenAt: number): EntryProof {
-    let proof = this.proofs.get(entryLife);
-    if (!proof) this.proofs.set(entryLife, (proof = createProof(provenAt)));
+  private findLiveness(entryLife: string, provenAt: number): DispatcherLiveness {
+    let proof = this.liveness.get(entryLife);
+    if (!proof) this.liveness.set(entryLife, (proof = createProof(provenAt)));
     return proof;
   }
 
@@ -487,7 +497,7 @@
       const waitedMs = Math.round((task.sentAt ?? this.clock.now()) - task.receivedAt);
       this.effects.log('task-ended', { task: key, run, end, reason, percent: task.percent, waitedMs });
     }
-    this.tellResult(task.owner, result, this.findCrash(task, reason));
+    this.sendResult(task.owner, result, this.findCrash(task, reason));
   }
 
   private findCrash({ order, sentAt }: LocalTask, reason: string): CrashedTask | undefined {
@@ -498,9 +508,9 @@
     return { job, step, index, estimateMs: order.estimateMs, ranMs, isIsolated };
   }
 
-  private tellResult(entryLife: string, result: AttemptResult, crash?: CrashedTask): void {
+  private sendResult(entryLife: string, result: AttemptResult, crash?: CrashedTask): void {
     const now = this.clock.now();
-    const proof = this.findProof(entryLife, -Infinity);
+    const proof = this.findLiveness(entryLife, -Infinity);
     const { results } = proof;
     // The entry takes the room of an attempt that has ended for free, until it is told the room again.
     proof.told = { ...proof.told, room: '' };
@@ -518,7 +528,7 @@
 
 const STATE_ORDER = ['ready', 'silent', 'joining', 'draining', 'absent'] as const;
 
-const NOTHING_TOLD: ToldRoom = { description: undefined, status: '', room: '' };
+const NOTHING_TOLD: ReportedCapacity = { description: undefined, status: '', room: '' };
 
 const ABSENT_DESCRIPTION: UpstreamDescription = {
   upstream: '',
@@ -534,7 +544,7 @@
   speed: 1,
 } as const;
 
-function createProof(provenAt: number): EntryProof {
+function createProof(provenAt: number): DispatcherLiveness {
   return {
     provenAt,
     startsSeen: 0,
--- a/src/process/executor/ExecutorDaemon.ts
+++ b/src/process/executor/ExecutorDaemon.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { createRandom } from '../../_lib/createRandom.js';
-import type { UpstreamMemory } from '../../ports/UpstreamMemory.js';
+import type { UpstreamReportStore } from '../../ports/UpstreamReportStore.js';
 import type { UpstreamRegistry, UpstreamReport } from '../../ports/UpstreamRegistry.js';
 import { createDaemonClock } from '../createDaemonClock.js';
 import { createIncarnation } from '../createIncarnation.js';
@@ -10,16 +10,16 @@
 import { createLogSink } from '../createLogSink.js';
 import { createLogger } from '../logger.js';
 import type { LogFields, ProcessLogger } from '../logger.js';
-import { describeError, noteFailure } from '../failures.js';
+import { describeError, logFailure } from '../failures.js';
 import { PauseGuard } from '../PauseGuard.js';
 import { fitResources } from '../../request/dispatch/resources.js';
 import type { Resources } from '../../request/dispatch/submission.js';
 import type { DispatchSettings } from '../settings/dispatchSettings.js';
 import { startTimer } from '../startTimer.js';
 import { ServedMetrics } from '../ServedMetrics.js';
-import { AgentCore } from './AgentCore.js';
-import { buildLifeName } from './buildLifeName.js';
-import { EntryLinks } from './EntryLinks.js';
+import { Executor } from './Executor.js';
+import { buildIncarnationName } from './buildIncarnationName.js';
+import { DispatcherLinks } from './DispatcherLinks.js';
 import { buildExecutorMetrics } from './executorMetrics.js';
 import { isKnownService } from './isKnownService.js';
 
@@ -35,7 +35,7 @@
 /** Outside parts of an executor. */
 export interface ExecutorPorts {
   readonly registry: UpstreamRegistry;
-  readonly memory: UpstreamMemory;
+  readonly memory: UpstreamReportStore;
 }
 
 /** An agent process. */
@@ -43,8 +43,8 @@
   private readonly clock = createDaemonClock((event, fields) => this.logDecision(event, fields));
   private readonly logger: ProcessLogger;
   private readonly metrics: ServedMetrics;
-  private readonly core: AgentCore;
-  private readonly links: EntryLinks;
+  private readonly core: Executor;
+  private readonly links: DispatcherLinks;
   private readonly pauseGuard: PauseGuard;
   /** Whether an upstream has reported itself to this life of the process. */
   private hasReport = false;
@@ -62,7 +62,7 @@
     const peer = createIncarnation(settings.id, startedAt);
     const times = deriveDispatchTimes(settings);
     this.logger = createLogger(peer, settings.logLevel, createLogSink());
-    this.core = new AgentCore(
+    this.core = new Executor(
       { agent: settings.id, life: peer, failureDomain: settings.failureDomain, startedAt },
       {
         ...times,
@@ -72,17 +72,17 @@
       },
       this.clock,
       {
-        openExecutor: (report) => this.ports.registry.openExecutor(report),
+        openApi: (report) => this.ports.registry.openApi(report),
         sendResult: (life, result) => {
           this.metrics.increment('executor_task_ends', { end: result.end });
           if (result.reason === 'full') this.metrics.increment('executor_returned_starts');
           this.links.sendResult(life, result);
         },
         sendCrashes: (life, notice) => this.links.sendCrashes(life, notice),
-        noteJoined: (report) => this.rememberUpstream(report),
-        noteChange: () => this.links.scheduleRoom(),
-        noteCapacity: (report, before) => this.noteCapacity(report, before),
-        notePart: () => this.metrics.increment('executor_parts_told'),
+        handleJoined: (report) => this.rememberUpstream(report),
+        handleChange: () => this.links.scheduleCapacityReports(),
+        handleCapacityChange: (report, before) => this.noteCapacity(report, before),
+        handleShareChange: () => this.metrics.increment('executor_parts_told'),
         log: (event, fields) => this.logDecision(event, fields),
       },
       settings.roomSharing,
@@ -98,14 +98,14 @@
     );
     this.pauseGuard = new PauseGuard(this.clock.now(), (gapMs) => {
       this.logger.warn('paused', { gapMs: Math.round(gapMs) });
-      this.links.notePause();
+      this.links.handlePause();
     });
     const { id: agent, failureDomain, maxLinks, smallFleet, linkPort, linkMbps } = settings;
     const { pingMs } = times;
     const options = { agent, failureDomain, maxLinks, smallFleet, linkPort, pingMs, linkMbps };
     const nextRandom = createRandom(Date.now() % 1_000_000);
     const log = (event: string, fields: LogFields): void => this.logDecision(event, fields);
-    this.links = new EntryLinks(options, this.core, this.clock, log, nextRandom);
+    this.links = new DispatcherLinks(options, this.core, this.clock, log, nextRandom);
   }
 
   /** Starts to listen for the upstream and to dial the entries. */
@@ -113,22 +113,22 @@
     this.logger.info('started', { failureDomain: this.settings.failureDomain });
     await this.ports.registry.start({
       report: (report) => this.takeReport(report),
-      leave: (upstreamId, bornAt) => this.core.noteLeave(upstreamId, bornAt),
-      noteRejected: (call, reason) => this.logger.warn('report-rejected', { call, reason }),
-      noteFailure: (call, error) => noteFailure(this.logger, 'call-failed', { call }, error),
+      leave: (upstreamId, bornAt) => this.core.handleLeave(upstreamId, bornAt),
+      recordRejected: (call, reason) => this.logger.warn('report-rejected', { call, reason }),
+      recordFailure: (call, error) => logFailure(this.logger, 'call-failed', { call }, error),
     });
-    this.links.noteSeeds(this.settings.seeds);
+    this.links.recordSeeds(this.settings.seeds);
     void this.recallUpstream();
     this.metrics.start();
     startTimer(this.logger, 'tick', TICK_MS, () => this.tick());
-    startTimer(this.logger, 'members', MEMBERS_MS, () => this.links.tellMembers());
+    startTimer(this.logger, 'members', MEMBERS_MS, () => this.links.sendMembers());
   }
 
   /** Takes changed settings: other seeds are dialed; all else needs a restart. */
   reload(settings: DispatchSettings): void {
     this.logger.info('reloaded', { seeds: settings.seeds });
     this.settings = settings;
-    this.links.noteSeeds(settings.seeds);
+    this.links.recordSeeds(settings.seeds);
   }
 
   /** Stops as planned: takes nothing new, lets what runs end, stops the rest, and returns. */
@@ -159,13 +159,13 @@
   private takeReport(report: UpstreamReport): void {
     if (!this.isOfKnownService(report)) return;
     this.hasReport = true;
-    this.core.noteReport(report);
+    this.core.handleReport(report);
   }
 
   private isOfKnownService(report: UpstreamReport): boolean {
     if (isKnownService(report.service, this.settings.service, this.links.services)) return true;
     const fields = {
-      upstream: buildLifeName(report),
+      upstream: buildIncarnationName(report),
       reason: 'of an unknown service',
       service: report.service,
     };
@@ -177,18 +177,18 @@
   private noteCapacity(report: UpstreamReport, before: Resources): void {
     const direction = fitResources(before, report.capacity) ? 'grown' : 'shrunk';
     this.metrics.increment('executor_capacity_changes', { direction });
-    this.links.tellCapacity();
+    this.links.sendCapacity();
     if (this.kept.startsWith(describeLife(report))) this.rememberUpstream(report);
   }
 
   /** Only a life that has answered is kept for the next life of this process: a report may have been held up. */
   private rememberUpstream(report: UpstreamReport): void {
-    const name = buildLifeName(report);
+    const name = buildIncarnationName(report);
     const kept = describeKept(report);
     if (kept === this.kept || report.isDraining) return;
     this.kept = kept;
     const keep = (): Promise<void> =>
-      this.ports.memory.remember(this.settings.id, report).catch((error: unknown) => {
+      this.ports.memory.save(this.settings.id, report).catch((error: unknown) => {
         this.logger.warn('upstream-not-remembered', { upstream: name, error: describeError(error) });
       });
     // One after another: an earlier report that is written again must not take the place of a later one.
@@ -197,18 +197,18 @@
 
   /** Finds the upstream of an earlier life, whose next report may be more than a second away. */
   private async recallUpstream(): Promise<void> {
-    const report = await this.ports.memory.recall(this.settings.id).catch((error: unknown) => {
+    const report = await this.ports.memory.load(this.settings.id).catch((error: unknown) => {
       this.logger.warn('upstream-not-recalled', { error: describeError(error) });
       return undefined;
     });
     if (!report || this.hasReport || this.leaving || !this.isOfKnownService(report)) return;
     this.kept = describeKept(report);
-    this.logger.info('upstream-recalled', { upstream: buildLifeName(report) });
-    this.core.noteReport({ ...report, clockMs: 0, sequence: -1 });
+    this.logger.info('upstream-recalled', { upstream: buildIncarnationName(report) });
+    this.core.handleReport({ ...report, clockMs: 0, sequence: -1 });
   }
 
   private tick(): void {
-    this.pauseGuard.look(this.clock.now());
+    this.pauseGuard.update(this.clock.now());
     this.core.tick();
     this.links.ping();
     this.ticks += 1;
@@ -222,5 +222,5 @@
 }
 
 function describeLife(report: UpstreamReport): string {
-  return `${buildLifeName(report)} `;
+  return `${buildIncarnationName(report)} `;
 }
--- a/src/process/executor/TrustMeter.ts
+++ b/src/process/executor/HealthMeter.ts
@@ -1,5 +1,5 @@
 /** Judges from failures whether an upstream is to be given work: it may be healthy by its own word and fail all. */
-import type { UpstreamTrust } from '../../connection/peer/peerMessages.js';
+import type { UpstreamHealth } from '../../connection/peer/peerMessages.js';
 
 /** Weight of the newest verdict in the moving share of failures. */
 const NEWEST_WEIGHT = 0.3;
@@ -10,7 +10,7 @@
 const LAST_REST_MS = 2_500;
 
 /** Trust in one upstream. */
-export class TrustMeter {
+export class HealthMeter {
   private failureShare = 0;
   private restMs = FIRST_REST_MS;
   private suspectUntil = 0;
@@ -18,7 +18,7 @@
   private lastFailedJob = '';
 
   /** Notes a task that ended well. */
-  noteSuccess(): void {
+  recordSuccess(): void {
     this.failureShare *= 1 - NEWEST_WEIGHT;
     if (this.isSuspect) this.failureShare = 0;
     this.isSuspect = false;
@@ -30,7 +30,7 @@
    *
    * @returns whether the upstream has just become suspect
    */
-  noteFailure(job: string, now: number): boolean {
+  recordFailure(job: string, now: number): boolean {
     if (job === this.lastFailedJob) return false;
     this.lastFailedJob = job;
     this.failureShare += (1 - this.failureShare) * NEWEST_WEIGHT;
@@ -43,7 +43,7 @@
   }
 
   /** Trust at a moment: `probation` admits one task at a time. */
-  read(now: number): UpstreamTrust {
+  read(now: number): UpstreamHealth {
     if (!this.isSuspect) return 'healthy';
     return now < this.suspectUntil ? 'suspect' : 'probation';
   }
--- a/src/process/executor/RunHistory.ts
+++ b/src/process/executor/RunHistory.ts
@@ -8,7 +8,7 @@
   private readonly highest = new Map<string, number>();
 
   /** Notes a run of a task. */
-  note(key: string, run: number): void {
+  record(key: string, run: number): void {
     this.highest.set(key, Math.max(run, this.highest.get(key) ?? 0));
     if (this.highest.size <= MAX_TASKS) return;
     const oldest = this.highest.keys().next().value;
@@ -18,7 +18,7 @@
   /** Takes the next run of a task. */
   take(key: string): number {
     const run = (this.highest.get(key) ?? 0) + 1;
-    this.note(key, run);
+    this.record(key, run);
     return run;
   }
 }
--- a/src/process/executor/RunLists.ts
+++ b/src/process/executor/RunLists.ts
@@ -1,7 +1,7 @@
 /** Reads what one life of an upstream lists with each renewal: what has ended there, what runs, and so what is gone. */
 import type { AttemptEnd } from '../../connection/peer/peerMessages.js';
 import { buildTaskKey } from '../../connection/peer/peerMessages.js';
-import type { EndedRun, LeaseAnswer, RunName, RunningRun } from '../../ports/TaskExecutor.js';
+import type { EndedRun, LeaseAnswer, RunName, RunningRun } from '../../ports/UpstreamApi.js';
 import { convertRunEnd } from './convertRunEnd.js';
 import type { LocalTask } from './localTask.js';
 import type { RunHistory } from './RunHistory.js';
@@ -10,7 +10,7 @@
 export interface ListHost {
   /** The upstream has begun a task. */
   readonly confirm: (task: LocalTask, now: number) => void;
-  readonly noteProgress: (task: LocalTask, percent: number, now: number) => void;
+  readonly recordProgress: (task: LocalTask, percent: number, now: number) => void;
   readonly finish: (task: LocalTask, end: AttemptEnd, reason: string) => void;
   /** Something runs that nobody here has ordered. */
   readonly stopUnknown: (name: RunName) => void;
@@ -45,34 +45,34 @@
    * @returns how many runs nobody here has ordered
    */
   take(answer: Extract<LeaseAnswer, { verdict: 'held' }>, sentAt: number, now: number): number {
-    for (const ended of answer.ended) this.noteEnd(ended, now);
-    const unknown = this.noteRunning(answer.running, now);
-    this.noteMissing(answer.running, sentAt);
+    for (const ended of answer.ended) this.handleEnd(ended, now);
+    const unknown = this.handleRunning(answer.running, now);
+    this.handleMissing(answer.running, sentAt);
     return unknown;
   }
 
-  private noteEnd(ended: EndedRun, now: number): void {
+  private handleEnd(ended: EndedRun, now: number): void {
     if (ended.sequence <= this.lastSequenceRead) return;
     this.lastSequenceRead = ended.sequence;
     const key = buildTaskKey(ended.name);
-    this.runs.note(key, ended.name.run);
+    this.runs.record(key, ended.name.run);
     const task = this.tasks.get(key);
     if (!task || task.run !== ended.name.run) return;
-    if (ended.end === 'done') this.host.noteProgress(task, 100, now);
+    if (ended.end === 'done') this.host.recordProgress(task, 100, now);
     this.host.finish(task, convertRunEnd(ended.end), ended.end);
   }
 
   /** Notes progress; stops what nobody here has ordered, and returns how many those are. */
-  private noteRunning(running: readonly RunningRun[], now: number): number {
+  private handleRunning(running: readonly RunningRun[], now: number): number {
     let unknown = 0;
     for (const { name, percent } of running) {
       const task = this.tasks.get(buildTaskKey(name));
       if (task && task.run === name.run) {
         if (task.phase === 'starting') this.host.confirm(task, now);
-        this.host.noteProgress(task, percent, now);
+        this.host.recordProgress(task, percent, now);
       } else {
         unknown += 1;
-        this.runs.note(buildTaskKey(name), name.run);
+        this.runs.record(buildTaskKey(name), name.run);
         this.host.stopUnknown(name);
       }
     }
@@ -80,7 +80,7 @@
   }
 
   /** What ran, or was to be stopped, and is in neither list of a renewal sent later is certainly gone. */
-  private noteMissing(running: readonly RunningRun[], sentAt: number): void {
+  private handleMissing(running: readonly RunningRun[], sentAt: number): void {
     const names = new Set(running.map(({ name }) => `${buildTaskKey(name)}/${name.run}`));
     for (const task of [...this.tasks.values()]) {
       if (names.has(`${task.key}/${task.run}`)) continue;
