--- a/src/process/executor/RunOrders.ts
+++ b/src/process/executor/RunOrders.ts
@@ -6,7 +6,7 @@
  */
 import type { Clock } from '../../_lib/Clock.js';
 import { ConnectionRefusedError } from '../../_lib/errors.js';
-import type { RunName, StartVerdict } from '../../ports/TaskExecutor.js';
+import type { RunName, StartVerdict } from '../../ports/UpstreamApi.js';
 import { buildRunName } from './localTask.js';
 import type { LocalTask } from './localTask.js';
 import type { RunHistory } from './RunHistory.js';
@@ -33,9 +33,9 @@
   /** A task is to be stopped, as it is not certain whether it was begun. */
   readonly withdraw: (task: LocalTask, reason: string) => void;
   /** The upstream did nothing and says so. */
-  readonly noteRefused: (task: LocalTask) => void;
+  readonly handleRefused: (task: LocalTask) => void;
   /** Another upstream answers. */
-  readonly noteOtherLife: () => void;
+  readonly handleOtherIncarnation: () => void;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
@@ -88,10 +88,10 @@
       case 'other-life':
         // Another life has refused it, so that this one cannot have begun it by this send.
         task.openSends -= 1;
-        this.host.noteOtherLife();
+        this.host.handleOtherIncarnation();
         return true;
       case 'refused':
-        this.host.noteRefused(task);
+        this.host.handleRefused(task);
         this.host.withdraw(task, 'refused');
         return true;
       default:
@@ -128,7 +128,7 @@
       try {
         const verdict = await this.calls.stop(buildRunName(task));
         if (verdict === 'accepted') task.stopAcceptedAt ??= this.clock.now();
-        if (verdict === 'other-life') return this.host.noteOtherLife();
+        if (verdict === 'other-life') return this.host.handleOtherIncarnation();
       } catch (error) {
         this.host.log('stop-unanswered', { task: task.key, run: task.run, error: String(error) });
       }
--- a/src/process/executor/UpstreamCalls.ts
+++ b/src/process/executor/UpstreamCalls.ts
@@ -8,8 +8,8 @@
   RunName,
   StartVerdict,
   StopVerdict,
-  TaskExecutor,
-} from '../../ports/TaskExecutor.js';
+  UpstreamApi,
+} from '../../ports/UpstreamApi.js';
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
 import { AnswerWatch } from './AnswerWatch.js';
 import type { FencingTokens } from './FencingTokens.js';
@@ -54,7 +54,7 @@
    * @param events - what to tell
    */
   constructor(
-    private readonly executor: TaskExecutor,
+    private readonly executor: UpstreamApi,
     report: Pick<UpstreamReport, 'clockMs' | 'bornAt'>,
     private readonly bounds: LeaseBounds,
     private readonly clock: Clock,
@@ -118,18 +118,18 @@
     const renewal = { leaseUntilMs, fencingToken: this.fencingToken, lastSequence, waitMs };
     try {
       const answer = await this.executor.renew(renewal, waitMs + this.answers.timeoutMs);
-      this.noteRenewal(answer, sentAt, waitMs);
+      this.handleRenewal(answer, sentAt, waitMs);
       if (answer.verdict === 'fenced') this.raise(renewal.fencingToken);
       return answer;
     } catch (error) {
-      this.noteUnanswered(sentAt);
+      this.handleTimeout(sentAt);
       throw error;
     }
   }
 
   /** Calls that were meant for another life may have reached this one until now. */
-  noteForeign(): void {
-    this.lease.noteForeign(this.clock.readSteady());
+  handleForeignWriter(): void {
+    this.lease.handleForeignWriter(this.clock.readSteady());
   }
 
   /** Has the upstream refuse, from the next call on that it takes, what was sent until now and may still be on its way. */
@@ -154,20 +154,20 @@
     const token = this.fencingToken;
     try {
       const { verdict, clockMs } = await call();
-      this.noteAnswer(sentAt, clockMs, true);
+      this.handleAnswer(sentAt, clockMs, true);
       if (verdict === 'fenced') this.raise(token);
       return verdict;
     } catch (error) {
-      this.noteUnanswered(sentAt);
+      this.handleTimeout(sentAt);
       throw error;
     }
   }
 
-  private noteRenewal(answer: LeaseAnswer, sentAt: number, waitMs: number): void {
-    if (answer.verdict === 'refused') return this.noteUnanswered(sentAt);
+  private handleRenewal(answer: LeaseAnswer, sentAt: number, waitMs: number): void {
+    if (answer.verdict === 'refused') return this.handleTimeout(sentAt);
     if (answer.verdict === 'held') this.renewalSentAt = sentAt;
     const clockMs = answer.verdict === 'other-life' ? undefined : answer.clockMs;
-    this.noteAnswer(sentAt, clockMs, waitMs === 0);
+    this.handleAnswer(sentAt, clockMs, waitMs === 0);
   }
 
   /** An earlier process on this VM took a higher token; of several calls that are refused the first one raises ours. */
@@ -177,17 +177,17 @@
     this.events.raiseToken(from, this.fencingToken);
   }
 
-  private noteAnswer(sentAt: number, clockMs: number | undefined, wasAtOnce: boolean): void {
+  private handleAnswer(sentAt: number, clockMs: number | undefined, wasAtOnce: boolean): void {
     const now = this.clock.now();
-    if (clockMs !== undefined) this.lease.noteClock(clockMs, this.clock.readSteady());
-    this.tellChange(() => this.answers.noteAnswer(now, wasAtOnce ? now - sentAt : undefined));
+    if (clockMs !== undefined) this.lease.recordClock(clockMs, this.clock.readSteady());
+    this.reportChange(() => this.answers.noteAnswer(now, wasAtOnce ? now - sentAt : undefined));
   }
 
-  private noteUnanswered(sentAt: number): void {
-    this.tellChange(() => this.answers.noteUnanswered(sentAt, this.clock.now()));
+  private handleTimeout(sentAt: number): void {
+    this.reportChange(() => this.answers.noteUnanswered(sentAt, this.clock.now()));
   }
 
-  private tellChange(note: () => void): void {
+  private reportChange(note: () => void): void {
     const before = this.isAnswering;
     note();
     if (this.isAnswering !== before) this.events.changeAnswers(this.isAnswering);
--- a/src/process/executor/UpstreamLives.test.ts
+++ b/src/process/executor/UpstreamIncarnations.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 
-import { AddressExecutor } from '../../../test/fakes/AddressExecutor.js';
+import { AddressUpstreamApi } from '../../../test/fakes/AddressUpstreamApi.js';
 import { FakeClock } from '../../../test/fakes/FakeClock.js';
 import { FakeUpstream } from '../../../test/fakes/FakeUpstream.js';
 import {
@@ -11,7 +11,7 @@
 } from '../../../test/fakes/upstreamFixtures.js';
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
 import { FencingTokens } from './FencingTokens.js';
-import { UpstreamLives } from './UpstreamLives.js';
+import { UpstreamIncarnations } from './UpstreamIncarnations.js';
 import type { UpstreamSession } from './UpstreamSession.js';
 
 const BORN_MS = 1_700_000_000_000;
@@ -24,7 +24,7 @@
 describe('UpstreamLives', () => {
   let clock: FakeClock;
   let upstream: FakeUpstream;
-  let lives: UpstreamLives;
+  let lives: UpstreamIncarnations;
   let ends: string[];
   let joined: string[];
   let passedOver: unknown[];
@@ -65,14 +65,14 @@
     joined = [];
     passedOver = [];
     const tokens = new FencingTokens(1_000_000, clock);
-    lives = new UpstreamLives(
+    lives = new UpstreamIncarnations(
       clock,
       tokens,
       { leaseMs: 500, maxLeaseMs: 1_000, stopMs: 50 },
       {
-        openExecutor: ({ address }) =>
-          new AddressExecutor(() => (address === UPSTREAM_ADDRESS ? upstream : nobody)),
-        noteJoined: ({ bornAt }) => void joined.push(String((bornAt ?? 0) - BORN_MS)),
+        openApi: ({ address }) =>
+          new AddressUpstreamApi(() => (address === UPSTREAM_ADDRESS ? upstream : nobody)),
+        handleJoined: ({ bornAt }) => void joined.push(String((bornAt ?? 0) - BORN_MS)),
         finish: (task, end) => void ends.push(`${task.order.name.index} ${end}`),
         change: () => undefined,
         changeCapacity: () => undefined,
@@ -80,7 +80,7 @@
         log: (event, { reason }) => void (event === 'report-passed-over' && passedOver.push(reason)),
       },
     );
-    lives.noteReport(buildReport(BORN_MS, 40));
+    lives.handleReport(buildReport(BORN_MS, 40));
     await advance(60);
   });
 
@@ -90,10 +90,10 @@
 
   it('take the word of a next life that it leaves, though its numbers begin anew', async () => {
     restart();
-    lives.noteReport(buildReport(upstream.bornAt, 1));
+    lives.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
     expect(findOpen()?.state).to.equal('ready');
-    lives.noteReport({ ...buildReport(upstream.bornAt, 2), isDraining: true });
+    lives.handleReport({ ...buildReport(upstream.bornAt, 2), isDraining: true });
     expect(findOpen()?.state).to.equal('draining');
     findOpen()?.offer(ORDER, 'entry');
     await advance(100);
@@ -106,7 +106,7 @@
     }
     await advance(300);
     restart();
-    lives.noteReport(buildReport(upstream.bornAt, 1));
+    lives.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
     findOpen()?.offer(buildStartOrder(3), 'entry');
     await advance(300);
@@ -117,7 +117,7 @@
     restart();
     await advance(700);
     expect(findOpen()?.state).to.equal('joining');
-    lives.noteReport({
+    lives.handleReport({
       ...buildReport(upstream.bornAt, 1),
       capacity: { ...UPSTREAM_CAPACITY, cpuMilli: 500 },
     });
@@ -132,7 +132,7 @@
     await advance(20);
     expect(upstream.running.size).to.equal(1);
     upstream.silent = true;
-    lives.noteReport(buildReport(upstream.bornAt, 1));
+    lives.handleReport(buildReport(upstream.bornAt, 1));
     await advance(100);
     expect(ends).to.deep.equal([]);
     upstream.silent = false;
@@ -146,7 +146,7 @@
     findOpen()?.offer(ORDER, 'entry');
     await advance(60);
     restart();
-    lives.noteReport(buildReport(upstream.bornAt, 1));
+    lives.handleReport(buildReport(upstream.bornAt, 1));
     await clock.advance(1);
     const next = lives.list().find(({ bornAt }) => bornAt === upstream.bornAt);
     expect([upstream.renewals > 0, next?.state, ends]).to.deep.equal([true, 'joining', []]);
@@ -158,7 +158,7 @@
     restart();
     await advance(700);
     expect(upstream.token).to.be.greaterThan(NEXT_CLOCK_MS + 1_000);
-    lives.noteReport(buildReport(upstream.bornAt, 1));
+    lives.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
     findOpen()?.offer(ORDER, 'entry');
     await advance(200);
@@ -171,19 +171,19 @@
     await advance(60);
     restart();
     upstream.silent = true;
-    lives.noteReport(buildReport(upstream.bornAt, 1));
+    lives.handleReport(buildReport(upstream.bornAt, 1));
     await advance(3_000);
     expect(ends).to.deep.equal(['0 lost']);
   });
 
   it('pass over reports of an earlier life, and those that name none', async () => {
     restart();
-    lives.noteReport(buildReport(upstream.bornAt, 1));
+    lives.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
-    lives.noteReport({ ...buildReport(BORN_MS, 99), isDraining: true });
-    lives.noteReport({ ...buildReport(undefined, 99), isDraining: true });
-    lives.noteReport({ ...buildReport(upstream.bornAt, 99), address: '127.0.0.1:9' });
-    lives.noteReport({ ...buildReport(upstream.bornAt, 99), service: 'other' });
+    lives.handleReport({ ...buildReport(BORN_MS, 99), isDraining: true });
+    lives.handleReport({ ...buildReport(undefined, 99), isDraining: true });
+    lives.handleReport({ ...buildReport(upstream.bornAt, 99), address: '127.0.0.1:9' });
+    lives.handleReport({ ...buildReport(upstream.bornAt, 99), service: 'other' });
     const place = 'of another place';
     expect(passedOver).to.deep.equal(['of an earlier life', 'of an earlier life', place, place]);
     expect(findOpen()?.state).to.equal('ready');
@@ -192,9 +192,9 @@
   it('go on with the life that answers when a later one is reported that does not', async () => {
     findOpen()?.offer({ ...ORDER, estimateMs: 300 }, 'entry');
     await advance(40);
-    lives.noteReport({ ...buildReport(BORN_MS + 5_000, 1), address: '127.0.0.1:9' });
+    lives.handleReport({ ...buildReport(BORN_MS + 5_000, 1), address: '127.0.0.1:9' });
     await advance(40);
-    lives.noteReport({ ...buildReport(BORN_MS, 41), isDraining: true });
+    lives.handleReport({ ...buildReport(BORN_MS, 41), isDraining: true });
     expect(findOpen()?.bornAt).to.equal(BORN_MS);
     expect(findOpen()?.state).to.equal('draining');
     await advance(300);
@@ -204,8 +204,8 @@
 
   it('take the place that a life reports for that of a report which it has never answered', async () => {
     restart();
-    lives.noteReport({ ...buildReport(upstream.bornAt, 1), address: '127.0.0.1:9' });
-    lives.noteReport(buildReport(upstream.bornAt, 2));
+    lives.handleReport({ ...buildReport(upstream.bornAt, 1), address: '127.0.0.1:9' });
+    lives.handleReport(buildReport(upstream.bornAt, 2));
     await advance(60);
     expect(findOpen()?.newestReport.address).to.equal(UPSTREAM_ADDRESS);
     expect(findOpen()?.state).to.equal('ready');
@@ -213,24 +213,24 @@
 
   it('end with the word of their own life only', async () => {
     restart();
-    lives.noteReport(buildReport(upstream.bornAt, 1));
+    lives.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
-    lives.noteLeave('u1', BORN_MS);
-    lives.noteLeave('u2', undefined);
+    lives.handleLeave('u1', BORN_MS);
+    lives.handleLeave('u2', undefined);
     expect(findOpen()?.state).to.equal('ready');
-    lives.noteLeave('u1', upstream.bornAt);
+    lives.handleLeave('u1', upstream.bornAt);
     expect(findOpen()).to.equal(undefined);
   });
 
   it('know lives by their ids where they tell no start', async () => {
-    lives.noteLeave('u1', undefined);
+    lives.handleLeave('u1', undefined);
     restart();
     upstream.bornAt = undefined;
-    lives.noteReport(buildReport(undefined, 5));
+    lives.handleReport(buildReport(undefined, 5));
     await advance(60);
-    lives.noteReport({ ...buildReport(undefined, 4), isDraining: true });
+    lives.handleReport({ ...buildReport(undefined, 4), isDraining: true });
     expect(findOpen()?.state).to.equal('ready');
-    lives.noteReport({ ...buildReport(undefined, 6), isDraining: true });
+    lives.handleReport({ ...buildReport(undefined, 6), isDraining: true });
     expect(findOpen()?.state).to.equal('draining');
   });
 });
--- a/src/process/executor/UpstreamLives.ts
+++ b/src/process/executor/UpstreamIncarnations.ts
@@ -11,8 +11,8 @@
  */
 import type { Clock } from '../../_lib/Clock.js';
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
-import type { TaskExecutor } from '../../ports/TaskExecutor.js';
-import { buildLifeName } from './buildLifeName.js';
+import type { UpstreamApi } from '../../ports/UpstreamApi.js';
+import { buildIncarnationName } from './buildIncarnationName.js';
 import type { FencingTokens } from './FencingTokens.js';
 import { UpstreamSession } from './UpstreamSession.js';
 import type { SessionBounds, SessionEvents } from './sessionEvents.js';
@@ -23,14 +23,14 @@
 const UNREPORTED = -1;
 
 /** What the lives tell their agent; the rest is for the sessions. */
-export interface LifeEvents extends Omit<SessionEvents, 'join' | 'settle' | 'findOtherLife'> {
-  readonly openExecutor: (report: UpstreamReport) => TaskExecutor;
+export interface IncarnationEvents extends Omit<SessionEvents, 'join' | 'settle' | 'findOtherLife'> {
+  readonly openApi: (report: UpstreamReport) => UpstreamApi;
   /** A life takes work for the first time. */
-  readonly noteJoined: (report: UpstreamReport) => void;
+  readonly handleJoined: (report: UpstreamReport) => void;
 }
 
 /** Sessions with the lives of an upstream. */
-export class UpstreamLives {
+export class UpstreamIncarnations {
   /** By the name of the life. */
   private readonly sessions = new Map<string, UpstreamSession>();
   /** When each life last reported itself. */
@@ -46,7 +46,7 @@
     private readonly clock: Clock,
     private readonly tokens: FencingTokens,
     private readonly bounds: SessionBounds,
-    private readonly events: LifeEvents,
+    private readonly events: IncarnationEvents,
   ) {}
 
   /** All sessions that hold something, or may. */
@@ -55,12 +55,12 @@
   }
 
   /** Takes a report of any life. */
-  noteReport(report: UpstreamReport): void {
-    const known = this.sessions.get(buildLifeName(report));
-    if (!known || known.isClosed) return this.noteNewLife(report);
-    if (known.isSuperseded) return this.passOver(report, 'of an earlier life');
+  handleReport(report: UpstreamReport): void {
+    const known = this.sessions.get(buildIncarnationName(report));
+    if (!known || known.isClosed) return this.handleNewIncarnation(report);
+    if (known.isSuperseded) return this.skipReport(report, 'of an earlier life');
     if (isSamePlace(report, known)) return this.describe(known, report);
-    if (known.isDescribed && known.isJoined) return this.passOver(report, 'of another place');
+    if (known.isDescribed && known.isJoined) return this.skipReport(report, 'of another place');
     known.close('reported-elsewhere');
     this.open(report, true);
   }
@@ -71,8 +71,8 @@
    * @param id - of the upstream
    * @param bornAt - which life; undefined where it does not say
    */
-  noteLeave(id: string, bornAt: number | undefined): void {
-    for (const session of this.listLives(id)) {
+  handleLeave(id: string, bornAt: number | undefined): void {
+    for (const session of this.listIncarnations(id)) {
       if (bornAt === undefined || bornAt === session.bornAt) session.leave();
       else this.events.log('leave-passed-over', { upstream: session.name, bornAt });
     }
@@ -84,28 +84,28 @@
       session.beginWaiting();
       const reportedAt = this.reportedAt.get(session.name) ?? now;
       if (!session.isReachable && now - reportedAt > FORGET_UPSTREAM_MS) session.close('forgotten');
-      const isLast = !this.listLives(session.id).some(({ isReachable }) => isReachable);
+      const isLast = !this.listIncarnations(session.id).some(({ isReachable }) => isReachable);
       if (session.isSuperseded && isLast) this.end(session);
     }
     for (const name of this.reportedAt.keys()) if (!this.sessions.has(name)) this.reportedAt.delete(name);
   }
 
   /** Lives of an upstream that may be there. */
-  private listLives(id: string): UpstreamSession[] {
+  private listIncarnations(id: string): UpstreamSession[] {
     return this.list().filter((one) => one.id === id && !one.isSuperseded && !one.isClosed);
   }
 
   /** Takes the report of a life that is not known; one that began before the life that answers is over. */
-  private noteNewLife(report: UpstreamReport): void {
-    const current = this.listLives(report.id).find(({ isJoined }) => isJoined);
-    if (current && isEarlier(report, current)) return this.passOver(report, 'of an earlier life');
+  private handleNewIncarnation(report: UpstreamReport): void {
+    const current = this.listIncarnations(report.id).find(({ isJoined }) => isJoined);
+    if (current && isEarlier(report, current)) return this.skipReport(report, 'of an earlier life');
     this.open(report, true);
   }
 
   private open(report: UpstreamReport, isDescribed: boolean): UpstreamSession {
-    const name = buildLifeName(report);
+    const name = buildIncarnationName(report);
     const { clock, tokens, bounds } = this;
-    const executor = this.events.openExecutor(report);
+    const executor = this.events.openApi(report);
     const events = this.buildSessionEvents(() => session);
     const session = new UpstreamSession(report, isDescribed, executor, clock, tokens, bounds, events);
     // A superseded session of this life ends with what it holds.
@@ -122,9 +122,9 @@
   private buildSessionEvents(findSession: () => UpstreamSession): SessionEvents {
     return {
       ...this.events,
-      join: () => this.noteJoin(findSession()),
+      join: () => this.handleJoin(findSession()),
       settle: (sentAt) => this.settle(findSession(), sentAt),
-      findOtherLife: (bornAt, clockMs) => this.noteOtherLife(findSession(), bornAt, clockMs),
+      findOtherLife: (bornAt, clockMs) => this.handleOtherIncarnation(findSession(), bornAt, clockMs),
     };
   }
 
@@ -133,20 +133,20 @@
     this.reportedAt.set(session.name, this.clock.now());
     const wasDescribed = session.isDescribed;
     session.update(report);
-    if (!wasDescribed && session.isJoined) this.events.noteJoined(report);
+    if (!wasDescribed && session.isJoined) this.events.handleJoined(report);
   }
 
   /** A life other than the one that was meant has answered. What it has is not known before it reports itself. */
-  private noteOtherLife(meant: UpstreamSession, bornAt: number, clockMs: number): void {
+  private handleOtherIncarnation(meant: UpstreamSession, bornAt: number, clockMs: number): void {
     const report = { ...meant.newestReport, bornAt, clockMs, sequence: UNREPORTED, isDraining: false };
-    const known = this.sessions.get(buildLifeName(report));
+    const known = this.sessions.get(buildIncarnationName(report));
     const isThere = known && !known.isClosed && !known.isSuperseded;
     this.supersede(meant, isThere ? known : this.open(report, false));
   }
 
   /** A life takes work for the first time; one that was found by its answer is kept once it is described. */
-  private noteJoin(session: UpstreamSession): void {
-    if (session.isDescribed) this.events.noteJoined(session.newestReport);
+  private handleJoin(session: UpstreamSession): void {
+    if (session.isDescribed) this.events.handleJoined(session.newestReport);
   }
 
   private supersede(earlier: UpstreamSession, next: UpstreamSession): void {
@@ -180,9 +180,9 @@
     if (session.isClosed && this.sessions.get(name) === session) this.sessions.delete(name);
   }
 
-  private passOver(report: UpstreamReport, reason: string): void {
+  private skipReport(report: UpstreamReport, reason: string): void {
     const { sequence, isDraining, clockMs } = report;
-    const upstream = buildLifeName(report);
+    const upstream = buildIncarnationName(report);
     this.events.log('report-passed-over', { upstream, reason, sequence, isDraining, clockMs });
   }
 }
--- a/src/process/executor/UpstreamLease.ts
+++ b/src/process/executor/UpstreamLease.ts
@@ -34,7 +34,7 @@
     private readonly effectiveMs: number,
   ) {
     this.aliveUntilMs = heardAt;
-    this.noteForeign(heardAt);
+    this.handleForeignWriter(heardAt);
   }
 
   /** Until when, in our steady time, something at the upstream may still run: the latest lease given, and drift. */
@@ -43,13 +43,13 @@
   }
 
   /** Calls that were meant for another life may have reached this one until now; their lease holds for all that runs. */
-  noteForeign(now: number): void {
+  handleForeignWriter(now: number): void {
     const lapse = this.effectiveMs * (1 + CLOCK_DRIFT);
     this.aliveUntilMs = Math.max(this.aliveUntilMs, now + lapse + ORDER_MARGIN_MS);
   }
 
   /** Notes the clock of an answer that has just arrived. */
-  noteClock(clockMs: number, now: number): void {
+  recordClock(clockMs: number, now: number): void {
     if (clockMs < this.estimate(now)) {
       // An answer that was on its way for long tells less than what is known already.
       if (clockMs < this.clockMs) return;
--- a/src/process/executor/UpstreamSession.ts
+++ b/src/process/executor/UpstreamSession.ts
@@ -15,7 +15,7 @@
   UpstreamDescription,
   UpstreamState,
 } from '../../connection/peer/peerMessages.js';
-import type { LeaseAnswer, TaskExecutor } from '../../ports/TaskExecutor.js';
+import type { LeaseAnswer, UpstreamApi } from '../../ports/UpstreamApi.js';
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
 import {
   addResources,
@@ -25,7 +25,7 @@
   subtractResources,
 } from '../../request/dispatch/resources.js';
 import type { Resources } from '../../request/dispatch/submission.js';
-import { buildLifeName } from './buildLifeName.js';
+import { buildIncarnationName } from './buildIncarnationName.js';
 import { findLossReason, isCrash } from './crashes.js';
 import type { FencingTokens } from './FencingTokens.js';
 import { createLocalTask, isAttempt, LOCAL_TASK_TABLE } from './localTask.js';
@@ -36,7 +36,7 @@
 import type { SessionBounds, SessionEvents } from './sessionEvents.js';
 import { createSpeedMeter } from './SpeedMeter.js';
 import type { SpeedMeter } from './SpeedMeter.js';
-import { TrustMeter } from './TrustMeter.js';
+import { HealthMeter } from './HealthMeter.js';
 import { UpstreamCalls } from './UpstreamCalls.js';
 import { findReturnReason, OVERDUE_MS, WaitingStarts } from './WaitingStarts.js';
 
@@ -53,7 +53,7 @@
   private readonly lists: RunLists;
   private readonly speedMeter: SpeedMeter;
   private told: UpstreamDescription;
-  private readonly trustMeter = new TrustMeter();
+  private readonly trustMeter = new HealthMeter();
   private readonly runs = new RunHistory();
   private used: Resources = NO_RESOURCES;
   private joined = false;
@@ -74,7 +74,7 @@
   constructor(
     private report: UpstreamReport,
     private described: boolean,
-    executor: TaskExecutor,
+    executor: UpstreamApi,
     private readonly clock: Clock,
     tokens: FencingTokens,
     private readonly bounds: SessionBounds,
@@ -94,13 +94,13 @@
       revalidate: (task) => this.revalidate(task),
       confirm: (task) => this.confirm(task, this.clock.now()),
       withdraw: (task, reason) => this.stopTask(task, reason),
-      noteRefused: (task) => this.noteFailure(task, this.clock.now()),
-      noteOtherLife: () => this.close('other-life'),
+      handleRefused: (task) => this.recordFailure(task, this.clock.now()),
+      handleOtherIncarnation: () => this.close('other-life'),
       log: this.events.log,
     });
     this.lists = new RunLists(this.tasks, this.runs, {
       confirm: (task, at) => this.confirm(task, at),
-      noteProgress: (task, percent, at) => this.noteProgress(task, percent, at),
+      recordProgress: (task, percent, at) => this.recordProgress(task, percent, at),
       finish: (task, end, reason) => this.finish(task, end, reason),
       stopUnknown: (name) => this.orders.stopUnknown(name),
     });
@@ -118,7 +118,7 @@
 
   /** Names this life. */
   get name(): string {
-    return buildLifeName(this.report);
+    return buildIncarnationName(this.report);
   }
 
   /** What is known of this life. */
@@ -178,7 +178,7 @@
   }
 
   /** Trust from failures. */
-  readTrust(): ReturnType<TrustMeter['read']> {
+  readTrust(): ReturnType<HealthMeter['read']> {
     return this.trustMeter.read(this.clock.now());
   }
 
@@ -345,7 +345,7 @@
       } catch (error) {
         if (this.isOver) return;
         this.events.log('renewal-unanswered', { upstream: this.name, error: String(error) });
-        this.noteSilence(error);
+        this.handleUnresponsive(error);
         await this.clock.sleep(this.reachable ? REPEAT_PAUSE_MS : UNREACHABLE_PAUSE_MS);
       }
     }
@@ -367,7 +367,7 @@
   /** Another session has sent calls until now that may have reached this life: the next one of ours has it refuse them. */
   takeOver(): void {
     this.calls.fenceOff();
-    this.calls.noteForeign();
+    this.calls.handleForeignWriter();
   }
 
   /** Ends the session: this life of the upstream is gone, and all that ran there with it. */
@@ -384,7 +384,7 @@
   private handleLease(answer: LeaseAnswer, sentAt: number): void {
     const now = this.clock.now();
     if (answer.verdict === 'other-life') return this.close('other-life');
-    if (answer.verdict === 'refused') return this.noteSilence('refused');
+    if (answer.verdict === 'refused') return this.handleUnresponsive('refused');
     if (answer.verdict === 'fenced') return;
     const { bornAt } = answer;
     if (bornAt !== undefined && bornAt !== this.bornAt)
@@ -408,7 +408,7 @@
   }
 
   /** No answer: once every lease that was given is over, nothing can run there any more. */
-  private noteSilence(error: unknown): void {
+  private handleUnresponsive(error: unknown): void {
     if (!this.reachable || !this.calls.hasLapsedFor(this.bounds.stopMs)) return;
     this.reachable = false;
     this.events.log('upstream-unreachable', { upstream: this.name, error: String(error), tasks: this.load });
@@ -462,7 +462,7 @@
     void this.orders.stop(task);
   }
 
-  private noteProgress(task: LocalTask, percent: number, now: number): void {
+  private recordProgress(task: LocalTask, percent: number, now: number): void {
     const share = Math.max(0, percent - task.percent) / 100;
     const { key, order } = task;
     const elapsedMs = now - task.sampledAt;
@@ -473,8 +473,8 @@
     task.percentAt = now;
   }
 
-  private noteFailure(task: LocalTask, now: number): void {
-    if (this.trustMeter.noteFailure(task.order.name.job, now)) {
+  private recordFailure(task: LocalTask, now: number): void {
+    if (this.trustMeter.recordFailure(task.order.name.job, now)) {
       this.events.log('upstream-suspect', { upstream: this.name });
       this.events.change();
     }
@@ -487,8 +487,8 @@
     this.tasks.delete(task.key);
     this.speedMeter.noteEnd(task.key, end === 'done', now);
     this.used = subtractResources(this.used, task.order.resources);
-    if (end === 'done') this.trustMeter.noteSuccess();
-    if (end === 'failed') this.noteFailure(task, now);
+    if (end === 'done') this.trustMeter.recordSuccess();
+    if (end === 'failed') this.recordFailure(task, now);
     const isStopReason = task.stopReason !== '' && reason !== UPSTREAM_CRASHED;
     this.events.finish(task, end, isStopReason ? task.stopReason : reason);
     this.events.change();
--- a/src/process/executor/buildLifeName.ts
+++ b/src/process/executor/buildIncarnationName.ts
@@ -8,6 +8,6 @@
  * @example
  * buildLifeName({ id: 'i-1', bornAt: 5 }); // 'i-1@5'
  */
-export function buildLifeName({ id, bornAt }: Pick<UpstreamReport, 'id' | 'bornAt'>): string {
+export function buildIncarnationName({ id, bornAt }: Pick<UpstreamReport, 'id' | 'bornAt'>): string {
   return bornAt === undefined ? id : `${id}@${bornAt}`;
 }
--- a/src/process/executor/convertRunEnd.ts
+++ b/src/process/executor/convertRunEnd.ts
@@ -1,6 +1,6 @@
 /** Ends of runs in the words of the links. */
 import type { AttemptEnd } from '../../connection/peer/peerMessages.js';
-import type { RunEnd } from '../../ports/TaskExecutor.js';
+import type { RunEnd } from '../../ports/UpstreamApi.js';
 
 /**
  * Converts the end of a run into the end of the attempt it served.
--- a/src/process/executor/divideRoom.ts
+++ b/src/process/executor/divideCapacity.ts
@@ -1,5 +1,5 @@
 /** An entry among which room is divided. Amounts are thousandths of a core. */
-export interface RoomClaim {
+export interface CapacityClaim {
   /** What it asks for: its weight. */
   readonly demand: number;
   /** What its tasks take here. */
@@ -20,7 +20,7 @@
  * @example
  * divideRoom(3_000, 1_000, [{ demand: 2, used: 0, isHome: true }, { demand: 1, used: 0, isHome: false }]); // [2000, 1000]
  */
-export function divideRoom(free: number, unit: number, claims: readonly RoomClaim[]): number[] {
+export function divideCapacity(free: number, unit: number, claims: readonly CapacityClaim[]): number[] {
   const wants = findWants(free, claims);
   const total = wants.reduce((sum, want) => sum + want, 0);
   const parts = claims.map(() => 0);
@@ -60,7 +60,7 @@
 }
 
 /** What each entry lacks of its part by demand. */
-function findWants(free: number, claims: readonly RoomClaim[]): number[] {
+function findWants(free: number, claims: readonly CapacityClaim[]): number[] {
   const demand = claims.reduce((sum, claim) => sum + claim.demand, 0);
   if (demand <= 0) return claims.map(() => 0);
   const room = claims.reduce((sum, { used }) => sum + used, free);
--- a/src/process/executor/localTask.ts
+++ b/src/process/executor/localTask.ts
@@ -3,7 +3,7 @@
 
 import { compileMachine } from '../../_lib/compileMachine.js';
 import type { StartOrder } from '../../connection/peer/peerMessages.js';
-import type { RunName } from '../../ports/TaskExecutor.js';
+import type { RunName } from '../../ports/UpstreamApi.js';
 
 /** Phase of a task at the agent. */
 export type LocalPhase = 'waiting' | 'starting' | 'running' | 'stopping' | 'ended';
--- a/src/process/failures.ts
+++ b/src/process/failures.ts
@@ -10,7 +10,7 @@
  * @param fields - what was being done
  * @param error - what was caught
  */
-export function noteFailure(logger: ProcessLogger, event: string, fields: LogFields, error: unknown): void {
+export function logFailure(logger: ProcessLogger, event: string, fields: LogFields, error: unknown): void {
   rethrowInvariant(error);
   logger.error(event, { ...fields, error: describeError(error) });
 }
--- a/src/process/settings/dispatchSettings.ts
+++ b/src/process/settings/dispatchSettings.ts
@@ -20,7 +20,7 @@
 export type AdmissionKind = 'patience' | 'forecast';
 
 /** What an executor tells of its room. `open`: all of it to each dispatcher; `demand`: parts, by what waits at each. */
-export type RoomSharingKind = 'open' | 'demand';
+export type CapacitySharingKind = 'open' | 'demand';
 
 /** How an executor measures its upstream's speed. `mean`: of all work; `median`: of tasks, which one long task does not move. */
 export type SpeedMeasureKind = 'mean' | 'median';
@@ -84,7 +84,7 @@
   /** How a dispatcher decides what to refuse. */
   readonly admission: AdmissionKind;
   /** How an executor divides its room among dispatchers. */
-  readonly roomSharing: RoomSharingKind;
+  readonly roomSharing: CapacitySharingKind;
   /** How an executor measures the speed of its upstream. */
   readonly speedMeasure: SpeedMeasureKind;
   /** Upstreams that may crash under one task until its job is failed; 0 for any number. */
--- a/src/process/startTimer.ts
+++ b/src/process/startTimer.ts
@@ -1,4 +1,4 @@
-import { noteFailure } from './failures.js';
+import { logFailure } from './failures.js';
 import type { ProcessLogger } from './logger.js';
 
 /**
@@ -20,7 +20,7 @@
     try {
       run();
     } catch (error) {
-      noteFailure(logger, 'timer-failed', { timer: name }, error);
+      logFailure(logger, 'timer-failed', { timer: name }, error);
     }
   }, intervalMs);
 }
--- a/test/configurationLinks.test.ts
+++ b/test/configurationLinks.test.ts
@@ -8,8 +8,8 @@
 import type { LineChannel } from '../src/connection/peer/LineChannel.js';
 import { PeerListener } from '../src/connection/peer/PeerListener.js';
 import type { PeerMessage } from '../src/connection/peer/peerMessages.js';
-import type { AgentCore } from '../src/process/executor/AgentCore.js';
-import { EntryLinks } from '../src/process/executor/EntryLinks.js';
+import type { Executor } from '../src/process/executor/Executor.js';
+import { DispatcherLinks } from '../src/process/executor/DispatcherLinks.js';
 import { OperatorExchange } from '../src/process/OperatorExchange.js';
 import { NO_RESOURCES } from '../src/request/dispatch/resources.js';
 import type { Configuration } from '../src/version/configuration.js';
@@ -35,7 +35,7 @@
 }
 
 /** What the links ask of the agent's decisions. */
-function createCore(): AgentCore {
+function createCore(): Executor {
   const holding = { holding: [], results: [], entryLife: '', orphanMs: 1_000 };
   const hello = { type: 'agent-hello', agent: 'a1', life: '1', failureDomain: 'x', ...holding } as const;
   const core = {
@@ -43,15 +43,15 @@
     buildPing: (_: string, version: number) => {
       return { type: 'ping', at: Math.floor(performance.now()), version, room: ROOM, progress: undefined };
     },
-    noteWelcome: () => undefined,
-    noteEntryReplaced: () => undefined,
-    setHome: () => undefined,
+    handleWelcome: () => undefined,
+    handleDispatcherReplaced: () => undefined,
+    setPreferred: () => undefined,
     setEmptied: () => undefined,
-    noteEcho: () => undefined,
+    handlePong: () => undefined,
     countHeld: () => 0,
-    takeRoomChange: () => undefined,
+    takeCapacityChange: () => undefined,
   };
-  return core as unknown as AgentCore;
+  return core as unknown as Executor;
 }
 
 /** The side of a dispatcher: echoes pings, and says what it holds as the daemon does. */
@@ -66,7 +66,7 @@
   private readonly clock = new SteadyClock();
   private readonly listener = new PeerListener({
     receive: (channel, message) => this.receive(channel, message),
-    close: (channel) => this.exchange.noteClosed(channel),
+    close: (channel) => this.exchange.handleClosed(channel),
   });
 
   constructor(linkMbps: number) {
@@ -112,7 +112,7 @@
   this.timeout(60_000);
   let entry: Entry;
   let proxy: LoopbackProxy;
-  let links: EntryLinks;
+  let links: DispatcherLinks;
   let timer: NodeJS.Timeout;
   let logged: string[];
 
@@ -126,8 +126,8 @@
     const fleet = { maxLinks: 3, smallFleet: 6, linkPort };
     const options = { agent: 'a1', failureDomain: 'x', ...fleet, pingMs: PING_MS, linkMbps: mbps };
     const log = (event: string): number => logged.push(event);
-    links = new EntryLinks(options, createCore(), new SteadyClock(), log, () => 0);
-    links.noteSeeds([`${HOST}:1`]);
+    links = new DispatcherLinks(options, createCore(), new SteadyClock(), log, () => 0);
+    links.recordSeeds([`${HOST}:1`]);
     timer = setInterval(() => {
       links.ping();
       links.keep();
--- a/test/fakes/AddressExecutor.ts
+++ b/test/fakes/AddressUpstreamApi.ts
@@ -1,5 +1,5 @@
 /** Orders to an address, where lives of an upstream follow each other under one id. */
-import { TaskExecutor } from '../../src/ports/TaskExecutor.js';
+import { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type {
   LeaseAnswer,
   LeaseRenewal,
@@ -8,11 +8,11 @@
   RunStart,
   StartVerdict,
   StopVerdict,
-} from '../../src/ports/TaskExecutor.js';
+} from '../../src/ports/UpstreamApi.js';
 import type { FakeUpstream } from './FakeUpstream.js';
 
 /** Each order reaches the life that is there when it is sent. */
-export class AddressExecutor extends TaskExecutor {
+export class AddressUpstreamApi extends UpstreamApi {
   /** @param findLife - the life that is there now */
   constructor(private readonly findLife: () => FakeUpstream) {
     super();
--- a/test/fakes/RoomModel.ts
+++ b/test/fakes/CapacityModel.ts
@@ -7,17 +7,17 @@
  */
 import { createRandom } from '../../src/_lib/createRandom.js';
 import { Dispatcher } from '../../src/process/dispatcher/Dispatcher.js';
-import { HomePlacement } from '../../src/process/dispatcher/Placement.js';
+import { PreferredPlacement } from '../../src/process/dispatcher/Placement.js';
 import { DelayWindow } from '../../src/process/dispatcher/SendWindow.js';
 import { deriveDispatchTimes } from '../../src/process/dispatchTimes.js';
-import { EntryDirectory } from '../../src/process/executor/EntryDirectory.js';
-import type { DispatchSettings, RoomSharingKind } from '../../src/process/settings/dispatchSettings.js';
+import { DispatcherDirectory } from '../../src/process/executor/DispatcherDirectory.js';
+import type { DispatchSettings, CapacitySharingKind } from '../../src/process/settings/dispatchSettings.js';
 import { JobBounds } from '../../src/request/dispatch/JobBounds.js';
 import type { JobOutcome } from '../../src/request/dispatch/submission.js';
-import type { EntryMessage } from '../../src/connection/peer/peerMessages.js';
+import type { DispatcherMessage } from '../../src/connection/peer/peerMessages.js';
 import { ROUTE, STEP, WIDE_LIMITS } from './dispatchFixtures.js';
-import { RoomModelAgent } from './RoomModelAgent.js';
-import type { AgentMessage, ModelLink } from './RoomModelAgent.js';
+import { CapacityModelExecutor } from './CapacityModelExecutor.js';
+import type { AgentMessage, ModelLink } from './CapacityModelExecutor.js';
 import { VirtualTime } from './VirtualTime.js';
 
 const DISPATCHERS = 8;
@@ -52,7 +52,7 @@
 
 /** What is played. */
 export interface RoomPlay {
-  readonly sharing: RoomSharingKind;
+  readonly sharing: CapacitySharingKind;
   /** Work that is asked for at the peak of all domains together, as a share of the room. */
   readonly load: number;
   /** One way between dispatcher and executor, ms. */
@@ -64,7 +64,7 @@
   /** Number of dispatchers that are of the version before: they tell no demand. */
   readonly earlier?: number;
   /** What happens, by when, ms. */
-  readonly events?: readonly { readonly at: number; readonly run: (model: RoomModel) => void }[];
+  readonly events?: readonly { readonly at: number; readonly run: (model: CapacityModel) => void }[];
 }
 
 /** What came of it. */
@@ -100,14 +100,14 @@
   constructor(
     readonly index: number,
     private readonly play: RoomPlay,
-    private readonly model: RoomModel,
+    private readonly model: CapacityModel,
     nextRandom: () => number,
   ) {
     this.life = `e${index}@1`;
     const options = {
       pingMs: TIMES.pingMs,
       bounds: new JobBounds(WIDE_LIMITS),
-      placement: new HomePlacement(1),
+      placement: new PreferredPlacement(1),
       window: new DelayWindow(),
       nextRandom,
     };
@@ -141,7 +141,7 @@
       this.send(agent, this.isEarlier || !needsDemand ? pong : { ...pong, waitingCpuMilli });
       this.dispatcher.handlePing(agent, message, now);
     }
-    if (message.type === 'room') this.dispatcher.handleRoom(agent, message, now);
+    if (message.type === 'room') this.dispatcher.handleCapacity(agent, message, now);
     if (message.type === 'result') this.dispatcher.handleResult(agent, message, now);
   }
 
@@ -162,7 +162,7 @@
     return this.index < (this.play.earlier ?? 0);
   }
 
-  private send(agent: string, message: EntryMessage): void {
+  private send(agent: string, message: DispatcherMessage): void {
     if (message.type === 'start') this.model.note('starts');
     else if (message.type !== 'stop') this.model.noteControl(message);
     const link = this.links.get(agent);
@@ -172,10 +172,10 @@
 }
 
 /** Plays one load. */
-export class RoomModel {
+export class CapacityModel {
   readonly time = new VirtualTime();
   readonly entries: ModelEntry[] = [];
-  readonly agents: RoomModelAgent[] = [];
+  readonly agents: CapacityModelExecutor[] = [];
   readonly count: RoomCount = {
     starts: 0,
     full: 0,
@@ -236,20 +236,20 @@
       wayMs: this.play.wayMs,
       times: TIMES,
     };
-    const agent = new RoomModelAgent(options, this.time, {
+    const agent = new CapacityModelExecutor(options, this.time, {
       note: (what) => this.note(what),
       noteControl: (message) => this.noteControl(message),
     });
     this.agents[index] = agent;
-    const directory = new EntryDirectory(agent.name, MAX_LINKS, 0);
+    const directory = new DispatcherDirectory(agent.name, MAX_LINKS, 0);
     const live = this.entries.filter(({ state }) => state !== 'dead');
-    directory.noteMembers(
+    directory.recordMembers(
       live.map(({ address, domain }) => ({ address, failureDomain: domain })),
       0,
     );
     const wanted = directory.chooseLinks(0);
-    for (const address of wanted) directory.noteAlive(address, 0);
-    const home = directory.chooseHome(wanted, 0);
+    for (const address of wanted) directory.recordAlive(address, 0);
+    const home = directory.choosePreferred(wanted, 0);
     for (const entry of live) if (wanted.has(entry.address)) agent.link(entry, entry.address === home);
   }
 
--- a/test/fakes/RoomModelAgent.ts
+++ b/test/fakes/CapacityModelExecutor.ts
@@ -1,19 +1,19 @@
 /** An executor of `RoomModel`: the product's decisions and pace, on links and an upstream of the model. */
-import { AgentCore } from '../../src/process/executor/AgentCore.js';
-import { RoomPacer } from '../../src/process/executor/RoomPacer.js';
+import { Executor } from '../../src/process/executor/Executor.js';
+import { CapacityReportLimiter } from '../../src/process/executor/CapacityReportLimiter.js';
 import type {
-  AgentHello,
+  ExecutorHello,
   AttemptResult,
-  EntryMessage,
+  DispatcherMessage,
   Ping,
-  RoomChange,
+  CapacityChange,
 } from '../../src/connection/peer/peerMessages.js';
 import type { DispatchTimes } from '../../src/process/dispatchTimes.js';
-import type { RunName } from '../../src/ports/TaskExecutor.js';
-import type { RoomSharingKind } from '../../src/process/settings/dispatchSettings.js';
+import type { RunName } from '../../src/ports/UpstreamApi.js';
+import type { CapacitySharingKind } from '../../src/process/settings/dispatchSettings.js';
 import type { Resources } from '../../src/request/dispatch/submission.js';
 import { ModelUpstream } from './ModelUpstream.js';
-import type { ModelEntry } from './RoomModel.js';
+import type { ModelEntry } from './CapacityModel.js';
 import { ROUTE } from './dispatchFixtures.js';
 import { buildUpstreamReport } from './upstreamFixtures.js';
 import type { VirtualTime } from './VirtualTime.js';
@@ -23,13 +23,13 @@
 const TOGETHER = 0.5;
 
 /** What an executor sends. */
-export type AgentMessage = Ping | RoomChange | AttemptResult | AgentHello;
+export type AgentMessage = Ping | CapacityChange | AttemptResult | ExecutorHello;
 
 /** A link as its executor keeps it. */
 export interface ModelLink {
-  readonly agent: RoomModelAgent;
+  readonly agent: CapacityModelExecutor;
   readonly entry: ModelEntry;
-  readonly pacer: RoomPacer;
+  readonly pacer: CapacityReportLimiter;
   echoMs: number | undefined;
   isWaiting: boolean;
   isRoomDue: boolean;
@@ -45,7 +45,7 @@
   readonly domain: string;
   readonly capacity: Resources;
   readonly findWork: (name: RunName) => number;
-  readonly sharing: RoomSharingKind;
+  readonly sharing: CapacitySharingKind;
   readonly wayMs: number;
   readonly times: DispatchTimes;
 }
@@ -57,9 +57,9 @@
 }
 
 /** One life of an executor. */
-export class RoomModelAgent {
+export class CapacityModelExecutor {
   readonly links = new Set<ModelLink>();
-  readonly core: AgentCore;
+  readonly core: Executor;
   readonly name: string;
   readonly domain: string;
   private readonly id: string;
@@ -79,15 +79,15 @@
     const identity = { agent: this.name, life: `${life}`, failureDomain, startedAt: 1_000_000 * life };
     const bounds = { ...times, maxLeaseMs: 1_000, stopMs: 50 };
     const effects = {
-      openExecutor: () => new ModelUpstream(time, findWork),
+      openApi: () => new ModelUpstream(time, findWork),
       sendResult: (entryLife: string, result: AttemptResult) => this.sendResult(entryLife, result),
-      noteJoined: () => undefined,
+      handleJoined: () => undefined,
       sendCrashes: () => undefined,
-      noteCapacity: () => undefined,
-      noteChange: () => this.scheduleRoom(),
+      handleCapacityChange: () => undefined,
+      handleChange: () => this.scheduleRoom(),
       log: () => undefined,
     };
-    this.core = new AgentCore(identity, bounds, time, effects, options.sharing);
+    this.core = new Executor(identity, bounds, time, effects, options.sharing);
     this.report(options.capacity);
   }
 
@@ -97,7 +97,7 @@
     const id = `u${index}-${life}`;
     this.sequence += 1;
     const { sequence } = this;
-    this.core.noteReport(buildUpstreamReport({ id, service: ROUTE.service, capacity, sequence }));
+    this.core.handleReport(buildUpstreamReport({ id, service: ROUTE.service, capacity, sequence }));
   }
 
   /** Links to an entry. */
@@ -105,7 +105,7 @@
     const link: ModelLink = {
       agent: this,
       entry,
-      pacer: new RoomPacer(),
+      pacer: new CapacityReportLimiter(),
       echoMs: undefined,
       isWaiting: false,
       isRoomDue: false,
@@ -115,8 +115,8 @@
     this.links.add(link);
     entry.links.set(this.id, link);
     entry.receive(this.id, this.core.buildHello(''));
-    this.core.noteWelcome(entry.life, this.time.now());
-    if (isHome) this.core.setHome(entry.life);
+    this.core.handleWelcome(entry.life, this.time.now());
+    if (isHome) this.core.setPreferred(entry.life);
   }
 
   /** The process ends without a word, and its upstream's tasks with it. */
@@ -148,21 +148,21 @@
   }
 
   /** Takes a message of an entry. */
-  receive(link: ModelLink, message: EntryMessage): void {
+  receive(link: ModelLink, message: DispatcherMessage): void {
     if (this.isDead || !this.links.has(link)) return;
     const { life } = link.entry;
     if (message.type === 'start') this.core.handleStart(life, message);
     if (message.type === 'stop') this.core.handleStop(life, message);
     if (message.type === 'demand') {
       link.isWaiting = true;
-      this.core.noteDemand(life, message);
+      this.core.handleDemand(life, message);
       this.tellRoom(link);
     }
     if (message.type !== 'pong') return;
     link.isWaiting = message.isWaiting;
     link.echoMs = Math.round(this.time.now() - message.at);
-    link.pacer.noteEcho(link.echoMs);
-    this.core.noteEcho(life, message);
+    link.pacer.recordRoundTrip(link.echoMs);
+    this.core.handlePong(life, message);
   }
 
   /** Does what the daemon's timer does. */
@@ -187,13 +187,15 @@
 
   private scheduleRoom(): void {
     const now = this.time.now();
-    const due = [...this.links].filter(({ entry, isWaiting }) => this.core.needsRoom(entry.life, isWaiting));
+    const due = [...this.links].filter(({ entry, isWaiting }) =>
+      this.core.needsCapacity(entry.life, isWaiting),
+    );
     for (const link of due) {
       const { entry, pacer } = link;
       if (link.timer) continue;
       const timer = (link.timer = {});
-      const isPart = this.core.hasPart(entry.life);
-      const waitMs = isPart ? pacer.findPartWait(now, due.length) : pacer.findWait(now, due.length);
+      const isPart = this.core.hasShare(entry.life);
+      const waitMs = isPart ? pacer.findShareWait(now, due.length) : pacer.findWait(now, due.length);
       this.time.schedule(waitMs, () => {
         if (link.timer === timer) this.tellRoom(link);
       });
@@ -205,16 +207,16 @@
     link.timer = undefined;
     link.isRoomDue = false;
     if (this.isOlderPing(link, PING_DUE)) return this.sendPing(link);
-    const room = this.core.takeRoomChange(link.entry.life);
+    const room = this.core.takeCapacityChange(link.entry.life);
     if (!room) return;
     const at = Math.floor(this.time.now());
-    link.pacer.noteTold(at);
+    link.pacer.recordReport(at);
     this.send(link, { type: 'room', at, room });
   }
 
   private sendPing(link: ModelLink): void {
     link.pingedAt = this.time.now();
-    link.pacer.noteTold(link.pingedAt);
+    link.pacer.recordReport(link.pingedAt);
     this.send(link, { ...this.core.buildPing(link.entry.life, 1), echoMs: link.echoMs });
   }
 
--- a/test/fakes/CongestionModel.ts
+++ b/test/fakes/CongestionModel.ts
@@ -6,7 +6,11 @@
  * the link for longer than they are good for; they come back as expired and are sent again, and what is sent for
  * nothing keeps the link full when the overload is over. What tells it from an overload is that it does not end.
  */
-import type { AttemptResult, EntryMessage, RoomReport } from '../../src/connection/peer/peerMessages.js';
+import type {
+  AttemptResult,
+  DispatcherMessage,
+  CapacityReport,
+} from '../../src/connection/peer/peerMessages.js';
 import { createRandom } from '../../src/_lib/createRandom.js';
 import { Dispatcher } from '../../src/process/dispatcher/Dispatcher.js';
 import type { SendWindow } from '../../src/process/dispatcher/SendWindow.js';
@@ -64,7 +68,7 @@
 }
 
 interface Sent {
-  readonly message: EntryMessage;
+  readonly message: DispatcherMessage;
   readonly agent: number;
   readonly arrivesAt: number;
 }
@@ -161,7 +165,7 @@
   }
 
   /** Messages take their turn on the link. */
-  private send(id: string, message: EntryMessage): void {
+  private send(id: string, message: DispatcherMessage): void {
     const bytes = START_BYTES + (message.type === 'start' ? message.spec.length : 0);
     this.linkFreeAt = Math.max(this.linkFreeAt, this.now) + (bytes * 8) / (this.play.mbps * 1_000);
     const agent = this.agents.findIndex((one) => one.id === id);
@@ -202,14 +206,14 @@
     reason: string,
   ): void {
     this.dispatcher.handleResult(agent.id, { type: 'result', name, end, reason }, this.now);
-    this.dispatcher.handleRoom(
+    this.dispatcher.handleCapacity(
       agent.id,
       { type: 'room', at: this.now, room: this.buildRoom(agent) },
       this.now,
     );
   }
 
-  private buildRoom({ id, startsSeen, runs }: ModelAgent): RoomReport {
+  private buildRoom({ id, startsSeen, runs }: ModelAgent): CapacityReport {
     const free = { ...CAPACITY, cpuMilli: CAPACITY.cpuMilli - runs.length * STEP.resources.cpuMilli };
     const description = { upstream: id, service: ROUTE.service, labels: [], capacity: CAPACITY };
     return { description, state: 'ready', trust: 'healthy', free, startsSeen, speed: 1 };
--- a/test/fakes/CrashModel.ts
+++ b/test/fakes/CrashModel.ts
@@ -4,9 +4,9 @@
  */
 import { createRandom } from '../../src/_lib/createRandom.js';
 import { OTHER_SUSPECT, UPSTREAM_CRASHED } from '../../src/connection/peer/peerMessages.js';
-import type { AttemptEnd, EntryMessage, StartOrder } from '../../src/connection/peer/peerMessages.js';
+import type { AttemptEnd, DispatcherMessage, StartOrder } from '../../src/connection/peer/peerMessages.js';
 import { Dispatcher } from '../../src/process/dispatcher/Dispatcher.js';
-import { HomePlacement } from '../../src/process/dispatcher/Placement.js';
+import { PreferredPlacement } from '../../src/process/dispatcher/Placement.js';
 import { OpenWindow } from '../../src/process/dispatcher/SendWindow.js';
 import { JobBounds } from '../../src/request/dispatch/JobBounds.js';
 import type { JobOutcome, StepNeed } from '../../src/request/dispatch/submission.js';
@@ -232,7 +232,7 @@
     });
   }
 
-  private receive(entry: ModelEntry, upstream: ModelUpstream, message: EntryMessage): void {
+  private receive(entry: ModelEntry, upstream: ModelUpstream, message: DispatcherMessage): void {
     if (message.type === 'stop') {
       const run = upstream.runs.find((one) => one.entry === entry && isSame(one.order.name, message.name));
       if (!run) return;
@@ -290,7 +290,7 @@
     return new Dispatcher(
       {
         pingMs: PING_MS,
-        placement: new HomePlacement(1),
+        placement: new PreferredPlacement(1),
         window: new OpenWindow(),
         bounds: new JobBounds(WIDE_LIMITS),
         crashLimit: this.play.crashLimit,
@@ -304,7 +304,7 @@
     );
   }
 
-  private send(number: number, life: number, agent: string, message: EntryMessage): void {
+  private send(number: number, life: number, agent: string, message: DispatcherMessage): void {
     this.at(WAY_MS, () => {
       const entry = this.entries[number] as ModelEntry;
       const upstream = this.upstreams.find((one) => this.buildAgentId(one) === agent);
--- a/test/fakes/DispatchWorld.ts
+++ b/test/fakes/DispatchWorld.ts
@@ -5,16 +5,16 @@
  */
 import { createRandom } from '../../src/_lib/createRandom.js';
 import type {
-  AgentHello,
-  AgentMessage,
-  EntryMessage,
+  ExecutorHello,
+  ExecutorMessage,
+  DispatcherMessage,
   PeerMessage,
 } from '../../src/connection/peer/peerMessages.js';
 import { createPolicies, ROUTE, STEP } from './dispatchFixtures.js';
 import type { JobSubmission } from '../../src/request/dispatch/submission.js';
 import type { EmptiedDomains } from '../../src/version/emptiedDomains.js';
-import { AgentCore } from '../../src/process/executor/AgentCore.js';
-import { buildAgentId } from '../../src/process/dispatcher/AgentView.js';
+import { Executor } from '../../src/process/executor/Executor.js';
+import { buildExecutorId } from '../../src/process/dispatcher/ExecutorView.js';
 import { Dispatcher } from '../../src/process/dispatcher/Dispatcher.js';
 import { OperatorExchange } from '../../src/process/OperatorExchange.js';
 import { deriveDispatchTimes } from '../../src/process/dispatchTimes.js';
@@ -204,7 +204,7 @@
     const agent = pickOne(this.agents, index);
     const { gate, core, upstream } = agent;
     if (gate.dead || gate.isFrozen || upstream.life === 1) return;
-    core.noteReport(this.upstreams.buildReport(agent, upstream.life - 1));
+    core.handleReport(this.upstreams.buildReport(agent, upstream.life - 1));
   }
 
   /** The first message of an earlier life of an agent, held up until now, arrives, and then the end of its link. */
@@ -388,13 +388,13 @@
     }
   }
 
-  private receiveAtEntry(link: Link, message: AgentMessage, now: number): void {
+  private receiveAtEntry(link: Link, message: ExecutorMessage, now: number): void {
     const { core, life, index, exchange } = link.entry;
-    const reply = { send: (answer: PeerMessage) => this.toAgent(link, answer as EntryMessage) };
+    const reply = { send: (answer: PeerMessage) => this.toAgent(link, answer as DispatcherMessage) };
     if (exchange.receive(message, reply)) return;
     const entryLife = `entry-${index}@${life}`;
     if (message.type === 'agent-hello') {
-      link.agentId = buildAgentId(message);
+      link.agentId = buildExecutorId(message);
       const place = { address: `entry-${index}`, failureDomain: 'x' };
       this.toAgent(link, { type: 'entry-welcome', entry: place.address, life: entryLife, place });
       core.handleHello(message, entryLife, now);
@@ -404,35 +404,35 @@
       compareEmptied(exchange, message, reply, now);
       core.handlePing(link.agentId, message, now);
     }
-    if (message.type === 'room') core.handleRoom(link.agentId, message, now);
+    if (message.type === 'room') core.handleCapacity(link.agentId, message, now);
     if (message.type === 'result') core.handleResult(link.agentId, message, now);
   }
 
-  private receiveAtAgent(link: Link, message: EntryMessage): void {
+  private receiveAtAgent(link: Link, message: DispatcherMessage): void {
     const { core, lastLives, exchange } = link.agent;
-    const reply = { send: (request: PeerMessage) => this.toEntry(link, request as AgentMessage) };
+    const reply = { send: (request: PeerMessage) => this.toEntry(link, request as ExecutorMessage) };
     if (exchange.receive(message, reply)) return;
     if (message.type === 'entry-welcome') {
       const before = lastLives.get(link.entry.index);
-      if (before !== undefined && before !== message.life) core.noteEntryReplaced(before);
+      if (before !== undefined && before !== message.life) core.handleDispatcherReplaced(before);
       lastLives.set(link.entry.index, message.life);
       link.life = message.life;
-      core.noteWelcome(message.life, link.openedAt);
+      core.handleWelcome(message.life, link.openedAt);
       this.toEntry(link, buildPing(link));
     }
     if (message.type === 'pong') {
-      core.noteEcho(link.life, message);
+      core.handlePong(link.life, message);
       compareEmptied(exchange, message, reply, link.agent.gate.now());
     }
     if (message.type === 'start') takeStart(link, message);
     if (message.type === 'stop') core.handleStop(link.life, message);
   }
 
-  private toEntry(link: Link, message: AgentMessage): void {
+  private toEntry(link: Link, message: ExecutorMessage): void {
     link.toEntry.push({ at: this.clock.now() + this.nextRandom() * 4, message });
   }
 
-  private toAgent(link: Link, message: EntryMessage): void {
+  private toAgent(link: Link, message: DispatcherMessage): void {
     if (message.type === 'start' && knowsEmptied(link.entry, link.agent))
       throw new Error('an entry places in a domain that it knows to be emptied');
     link.toAgent.push({ at: this.clock.now() + this.nextRandom() * 4, message });
@@ -455,10 +455,10 @@
 
   private report(agent: WorldAgent): void {
     if (agent.gate.dead || agent.gate.isFrozen) return;
-    agent.core.noteReport(this.upstreams.buildReport(agent, agent.upstream.life));
+    agent.core.handleReport(this.upstreams.buildReport(agent, agent.upstream.life));
   }
 
-  private buildLateHello(index: number, life: number): AgentHello {
+  private buildLateHello(index: number, life: number): ExecutorHello {
     const { gate } = pickOne(this.agents, index);
     return this.createCore(index, life, gate, () => pickOne(this.agents, index)).buildHello('');
   }
@@ -505,8 +505,8 @@
     return agent;
   }
 
-  private createCore(index: number, life: number, gate: ProcessGate, find: () => WorldAgent): AgentCore {
-    return new AgentCore(
+  private createCore(index: number, life: number, gate: ProcessGate, find: () => WorldAgent): Executor {
+    return new Executor(
       {
         agent: `agent-${index}`,
         life: String(life),
@@ -516,7 +516,7 @@
       { ...TIMES, maxLeaseMs: MAX_LEASE_MS, stopMs: STOP_MS },
       gate,
       {
-        openExecutor: ({ id }) => new GatedExecutor(this.upstreams.openExecutor(id, find), gate),
+        openApi: ({ id }) => new GatedExecutor(this.upstreams.openExecutor(id, find), gate),
         sendResult: (entryLife, result) => {
           for (const link of this.links.values()) {
             if (link.agent.index === index && link.life === entryLife && !gate.dead)
@@ -524,9 +524,9 @@
           }
         },
         sendCrashes: () => undefined,
-        noteJoined: () => undefined,
-        noteChange: () => undefined,
-        noteCapacity: () => undefined,
+        handleJoined: () => undefined,
+        handleChange: () => undefined,
+        handleCapacityChange: () => undefined,
         log: () => undefined,
       },
     );
--- a/test/fakes/FakeUpstream.ts
+++ b/test/fakes/FakeUpstream.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../../src/_lib/Clock.js';
 import { ConnectionRefusedError } from '../../src/_lib/errors.js';
-import { TaskExecutor } from '../../src/ports/TaskExecutor.js';
+import { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type {
   EndedRun,
   LeaseAnswer,
@@ -15,7 +15,7 @@
   RunStart,
   StartVerdict,
   StopVerdict,
-} from '../../src/ports/TaskExecutor.js';
+} from '../../src/ports/UpstreamApi.js';
 
 /** Step in which a waiting renewal looks for an end, ms. */
 const LOOK_MS = 5;
@@ -32,7 +32,7 @@
 export type OrderFate = 'answered' | 'lost' | 'unanswered' | 'late';
 
 /** A life of an upstream. */
-export class FakeUpstream extends TaskExecutor {
+export class FakeUpstream extends UpstreamApi {
   readonly running = new Map<string, Run>();
   readonly ended: EndedRun[] = [];
   /** Starts that took effect. */
--- a/test/fakes/ModelUpstream.ts
+++ b/test/fakes/ModelUpstream.ts
@@ -1,5 +1,5 @@
 /** An upstream that carries out what it is told and answers at once, for models with thousands of tasks a second. */
-import { TaskExecutor } from '../../src/ports/TaskExecutor.js';
+import { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type {
   EndedRun,
   LeaseAnswer,
@@ -9,7 +9,7 @@
   RunStart,
   StartVerdict,
   StopVerdict,
-} from '../../src/ports/TaskExecutor.js';
+} from '../../src/ports/UpstreamApi.js';
 import type { VirtualTime } from './VirtualTime.js';
 
 /** Time until an answer, ms. */
@@ -22,7 +22,7 @@
 }
 
 /** One life of an upstream that never fails. */
-export class ModelUpstream extends TaskExecutor {
+export class ModelUpstream extends UpstreamApi {
   private readonly running = new Map<string, ModelRun>();
   private ended: EndedRun[] = [];
   private sequence = 0;
--- a/test/fakes/ProcessGate.ts
+++ b/test/fakes/ProcessGate.ts
@@ -4,7 +4,7 @@
  */
 import { BootClock } from '../../src/_lib/BootClock.js';
 import { Clock } from '../../src/_lib/Clock.js';
-import { TaskExecutor } from '../../src/ports/TaskExecutor.js';
+import { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type {
   LeaseAnswer,
   LeaseRenewal,
@@ -13,7 +13,7 @@
   RunStart,
   StartVerdict,
   StopVerdict,
-} from '../../src/ports/TaskExecutor.js';
+} from '../../src/ports/UpstreamApi.js';
 import type { FakeClock } from './FakeClock.js';
 import { SuspendedTime } from './SuspendedTime.js';
 
@@ -102,9 +102,9 @@
 }
 
 /** Orders leave, and answers reach, a process only while it runs. */
-export class GatedExecutor extends TaskExecutor {
+export class GatedExecutor extends UpstreamApi {
   constructor(
-    private readonly fake: TaskExecutor,
+    private readonly fake: UpstreamApi,
     private readonly gate: ProcessGate,
   ) {
     super();
--- a/test/fakes/ScarceRoomModel.ts
+++ b/test/fakes/ScarceCapacityModel.ts
@@ -6,7 +6,11 @@
  * the loss and return of agents.
  */
 import { createRandom } from '../../src/_lib/createRandom.js';
-import type { AttemptResult, EntryMessage, RoomReport } from '../../src/connection/peer/peerMessages.js';
+import type {
+  AttemptResult,
+  DispatcherMessage,
+  CapacityReport,
+} from '../../src/connection/peer/peerMessages.js';
 import type { Admission } from '../../src/process/dispatcher/Admission.js';
 import { Dispatcher } from '../../src/process/dispatcher/Dispatcher.js';
 import { SpeedPlacement } from '../../src/process/dispatcher/Placement.js';
@@ -62,7 +66,7 @@
 }
 
 /** What is played. */
-export interface ScarceRoomPlay {
+export interface ScarceCapacityRun {
   readonly seed: number;
   readonly lengthMs: number;
   readonly bursts: readonly ModelBurst[];
@@ -80,7 +84,7 @@
 }
 
 /** What became of a job. */
-export interface ScarceRoomJob {
+export interface ScarceCapacityJob {
   readonly queue: string;
   readonly arrivedAt: number;
   /** Work by its true times, core-ms. */
@@ -97,7 +101,12 @@
 export type ModelVerdict = 'in-time' | 'late' | 'useless' | 'refused' | 'interrupted';
 
 /** Judges a job's answer. */
-export function judgeJob({ outcome, answeredAt, arrivedAt, objectiveMs }: ScarceRoomJob): ModelVerdict {
+export function evaluateJob({
+  outcome,
+  answeredAt,
+  arrivedAt,
+  objectiveMs,
+}: ScarceCapacityJob): ModelVerdict {
   if (outcome?.kind === 'refused') return 'refused';
   if (outcome?.kind !== 'completed') return 'interrupted';
   const tookMs = answeredAt - arrivedAt;
@@ -123,8 +132,8 @@
 }
 
 /** A play. */
-export class ScarceRoomModel {
-  readonly jobs: ScarceRoomJob[] = [];
+export class ScarceCapacityModel {
+  readonly jobs: ScarceCapacityJob[] = [];
   /** Moments at which an agent had room for a task that waited after placing, ms. */
   readonly idleAt: number[] = [];
   readonly dispatcher: Dispatcher;
@@ -134,7 +143,7 @@
   private now = 0;
   private readonly nextAt: number[] = [];
 
-  constructor(private readonly play: ScarceRoomPlay) {
+  constructor(private readonly play: ScarceCapacityRun) {
     this.random = createRandom(play.seed);
     this.dispatcher = new Dispatcher(
       {
@@ -217,7 +226,7 @@
     const works = Array.from({ length: count }, () => workMs * (1 + 0.15 * (2 * this.random() - 1)));
     const off = 1 + (this.play.estimateOff ?? 0) * (2 * this.random() - 1);
     const chainMs = Math.max(...works);
-    const job: ScarceRoomJob = {
+    const job: ScarceCapacityJob = {
       queue: queue.name,
       arrivedAt: this.now,
       work: (works.reduce((sum, work) => sum + work, 0) * TASK_CPU) / 1_000,
@@ -277,7 +286,7 @@
     this.link(agent);
   }
 
-  private handleOrder(id: string, message: EntryMessage): void {
+  private handleOrder(id: string, message: DispatcherMessage): void {
     const agent = this.agents.find((one) => one.id === id);
     if (!agent || agent.isOut) return;
     if (message.type === 'start') {
@@ -301,7 +310,7 @@
         this.dispatcher.handleResult(agent.id, result, this.now);
       }
       const room = this.buildRoom(agent);
-      this.dispatcher.handleRoom(agent.id, { type: 'room', at: this.now, room }, this.now);
+      this.dispatcher.handleCapacity(agent.id, { type: 'room', at: this.now, room }, this.now);
     }
     if (this.now >= agent.nextPingAt) this.ping(agent);
   }
@@ -313,7 +322,7 @@
     this.dispatcher.handlePing(agent.id, ping, this.now);
   }
 
-  private buildRoom({ name, startsSeen, runs, slowness }: ModelAgent): RoomReport {
+  private buildRoom({ name, startsSeen, runs, slowness }: ModelAgent): CapacityReport {
     const used = runs.reduce((sum, { cpuMilli }) => sum + cpuMilli, 0);
     const description = {
       upstream: `of-${name}`,
@@ -335,7 +344,7 @@
 const FLOOD: ModelBurst = { queue: 'middle', fromMs: 4_000, untilMs: 9_000, factor: 4 };
 
 /** Loads of the comparison, by name; the seed and the ways are added. */
-export const LOADS: Readonly<Record<string, Omit<ScarceRoomPlay, 'seed'>>> = {
+export const LOADS: Readonly<Record<string, Omit<ScarceCapacityRun, 'seed'>>> = {
   calm: { lengthMs: 12_000, bursts: [] },
   large: { lengthMs: 12_000, bursts: [LARGE] },
   urgent: { lengthMs: 10_000, bursts: [URGENT] },
--- a/test/fakes/countService.ts
+++ b/test/fakes/countService.ts
@@ -1,6 +1,6 @@
 /** Sums up a play of `ScarceRoomModel` as callers count it. */
-import { judgeJob } from './ScarceRoomModel.js';
-import type { ScarceRoomJob } from './ScarceRoomModel.js';
+import { evaluateJob } from './ScarceCapacityModel.js';
+import type { ScarceCapacityJob } from './ScarceCapacityModel.js';
 
 /** What a late answer is worth of one in time. */
 const LATE_WORTH = 0.2;
@@ -32,14 +32,14 @@
 }
 
 /** Counts the service of a play's jobs. */
-export function countService(jobs: readonly ScarceRoomJob[]): Service {
-  const byQueue = new Map<string, ScarceRoomJob[]>();
+export function countService(jobs: readonly ScarceCapacityJob[]): Service {
+  const byQueue = new Map<string, ScarceCapacityJob[]>();
   for (const job of jobs) byQueue.set(job.queue, [...(byQueue.get(job.queue) ?? []), job]);
   const queues: Record<string, number> = {};
   const earned: number[] = [];
   const sizes: number[] = [];
-  const tenths: ScarceRoomJob[] = [];
-  const fifths: ScarceRoomJob[] = [];
+  const tenths: ScarceCapacityJob[] = [];
+  const fifths: ScarceCapacityJob[] = [];
   let leastShare = 1;
   for (const [queue, own] of byQueue) {
     const bySize = [...own].sort((left, right) => right.work - left.work);
@@ -55,9 +55,10 @@
   }
   const total = earned.reduce((sum, worth) => sum + worth, 0) / earned.length;
   const [worstQueue, worstSize] = [Math.min(...earned), Math.min(...sizes)];
-  const countShare = (isOne: (job: ScarceRoomJob) => boolean): number =>
+  const countShare = (isOne: (job: ScarceCapacityJob) => boolean): number =>
     jobs.filter(isOne).length / jobs.length;
-  const isSoon = ({ answeredAt, arrivedAt }: ScarceRoomJob): boolean => answeredAt - arrivedAt <= AT_ONCE_MS;
+  const isSoon = ({ answeredAt, arrivedAt }: ScarceCapacityJob): boolean =>
+    answeredAt - arrivedAt <= AT_ONCE_MS;
   return {
     queues,
     total,
@@ -65,24 +66,24 @@
     worstSize,
     worth: (0.4 * total + 0.3 * Math.min(worstQueue, worstSize)) / 0.7,
     leastShare,
-    tenth: tenths.filter((job) => judgeJob(job) === 'in-time').length / tenths.length,
-    fifth: fifths.filter((job) => judgeJob(job) === 'in-time').length / fifths.length,
-    refusedAtOnce: countShare((job) => judgeJob(job) === 'refused' && isSoon(job)),
-    refusedLater: countShare((job) => judgeJob(job) === 'refused' && !isSoon(job)),
-    late: countShare((job) => judgeJob(job) === 'late'),
-    useless: countShare((job) => judgeJob(job) === 'useless'),
-    interrupted: countShare((job) => judgeJob(job) === 'interrupted'),
+    tenth: tenths.filter((job) => evaluateJob(job) === 'in-time').length / tenths.length,
+    fifth: fifths.filter((job) => evaluateJob(job) === 'in-time').length / fifths.length,
+    refusedAtOnce: countShare((job) => evaluateJob(job) === 'refused' && isSoon(job)),
+    refusedLater: countShare((job) => evaluateJob(job) === 'refused' && !isSoon(job)),
+    late: countShare((job) => evaluateJob(job) === 'late'),
+    useless: countShare((job) => evaluateJob(job) === 'useless'),
+    interrupted: countShare((job) => evaluateJob(job) === 'interrupted'),
   };
 }
 
 /** Worth earned of that owed; a job's worth rises with its work against the mean of its queue. */
-function measureWorth(jobs: readonly ScarceRoomJob[], queue = jobs): number {
+function measureWorth(jobs: readonly ScarceCapacityJob[], queue = jobs): number {
   const meanWork = queue.reduce((sum, { work }) => sum + work, 0) / queue.length;
   let owed = 0;
   let earned = 0;
   for (const job of jobs) {
     const worth = Math.min(MAX_WORTH, FIXED_WORTH + ((1 - FIXED_WORTH) * job.work) / meanWork);
-    const verdict = judgeJob(job);
+    const verdict = evaluateJob(job);
     owed += worth;
     if (verdict === 'in-time') earned += worth;
     if (verdict === 'late') earned += worth * LATE_WORTH;
@@ -90,7 +91,7 @@
   return earned / owed;
 }
 
-function measureAnswered(jobs: readonly ScarceRoomJob[]): number {
-  const answered = jobs.filter((job) => ['in-time', 'late'].includes(judgeJob(job)));
+function measureAnswered(jobs: readonly ScarceCapacityJob[]): number {
+  const answered = jobs.filter((job) => ['in-time', 'late'].includes(evaluateJob(job)));
   return answered.length / jobs.length;
 }
--- a/test/fakes/dispatchCommands.ts
+++ b/test/fakes/dispatchCommands.ts
@@ -150,7 +150,7 @@
 export const dispatchCommands = fc.commands(EARLIER_COMMANDS, { maxCommands: MAX_COMMANDS, size: 'max' });
 
 /** The same, and connections that go silent for good, and words of earlier lives that come late. */
-export const lateWordCommands = fc.commands(
+export const lateReportCommands = fc.commands(
   [...EARLIER_COMMANDS, mute, mute, replace, lateReport, lateReport, lateHello],
   { maxCommands: MAX_COMMANDS, size: 'max' },
 );
@@ -174,7 +174,7 @@
 );
 
 /** The same as the first, and upstreams whose room shrinks and grows. */
-export const roomCommands = fc.commands(
+export const capacityCommands = fc.commands(
   [...EARLIER_COMMANDS, replace, lateReport, changeRoom, changeRoom, changeRoom, changeRoom],
   { maxCommands: MAX_COMMANDS, size: 'max' },
 );
--- a/test/fakes/dispatchWorldDomains.ts
+++ b/test/fakes/dispatchWorldDomains.ts
@@ -1,11 +1,11 @@
 /** Failure domains of the randomised runs, and what each agent knows of them. */
 import type { StartOrder } from '../../src/connection/peer/peerMessages.js';
-import type { AgentCore } from '../../src/process/executor/AgentCore.js';
+import type { Executor } from '../../src/process/executor/Executor.js';
 import type { PeerChannel } from '../../src/process/NewestExchange.js';
 import { OperatorExchange } from '../../src/process/OperatorExchange.js';
 import { applyDomainChange } from '../../src/version/emptiedDomains.js';
 import type { EmptiedDomains } from '../../src/version/emptiedDomains.js';
-import type { ToldVersions } from '../../src/process/OperatorExchange.js';
+import type { ReportedVersions } from '../../src/process/OperatorExchange.js';
 import type { Link, WorldAgent, WorldEntry } from './dispatchWorldState.js';
 
 /** Configurations play no part here. */
@@ -24,7 +24,7 @@
 }
 
 /** Creates what an agent knows of the operators' word. */
-export function createAgentExchange(agent: WorldAgent, core: AgentCore): OperatorExchange {
+export function createAgentExchange(agent: WorldAgent, core: Executor): OperatorExchange {
   return new OperatorExchange({
     changeConfiguration: () => undefined,
     changeEmptied: ({ domains }) => core.setEmptied(domains.includes(findDomain(agent))),
@@ -47,7 +47,7 @@
 /** Has a process ask its peer for a newer list of emptied domains. */
 export function compareEmptied(
   exchange: OperatorExchange,
-  { emptiedRevision }: Pick<ToldVersions, 'emptiedRevision'>,
+  { emptiedRevision }: Pick<ReportedVersions, 'emptiedRevision'>,
   channel: PeerChannel,
   now: number,
 ): void {
--- a/test/fakes/dispatchWorldState.ts
+++ b/test/fakes/dispatchWorldState.ts
@@ -1,8 +1,13 @@
 /** What the randomised runs of dispatchers and agents hold: links, processes, upstreams and jobs. */
-import type { AgentMessage, EntryMessage, Ping, Pong } from '../../src/connection/peer/peerMessages.js';
+import type {
+  ExecutorMessage,
+  DispatcherMessage,
+  Ping,
+  Pong,
+} from '../../src/connection/peer/peerMessages.js';
 import type { Dispatcher } from '../../src/process/dispatcher/Dispatcher.js';
 import type { OperatorExchange } from '../../src/process/OperatorExchange.js';
-import type { AgentCore } from '../../src/process/executor/AgentCore.js';
+import type { Executor } from '../../src/process/executor/Executor.js';
 import type { FakeCaller } from './FakeCaller.js';
 import type { FakeUpstream } from './FakeUpstream.js';
 import type { ProcessGate } from './ProcessGate.js';
@@ -17,8 +22,8 @@
 export interface Link {
   readonly entry: WorldEntry;
   readonly agent: WorldAgent;
-  readonly toEntry: Parcel<AgentMessage>[];
-  readonly toAgent: Parcel<EntryMessage>[];
+  readonly toEntry: Parcel<ExecutorMessage>[];
+  readonly toAgent: Parcel<DispatcherMessage>[];
   readonly openedAt: number;
   agentId: string;
   life: string;
@@ -49,7 +54,7 @@
   life: number;
   gate: ProcessGate;
   exchange: OperatorExchange;
-  core: AgentCore;
+  core: Executor;
   restartAt: number;
   upstream: WorldUpstream;
   readonly lastLives: Map<number, string>;
--- a/test/fakes/dispatchWorldUpstreams.ts
+++ b/test/fakes/dispatchWorldUpstreams.ts
@@ -1,7 +1,7 @@
 /** Upstreams of the randomised runs: their lives, what they say of themselves, and the way to them. */
-import type { TaskExecutor } from '../../src/ports/TaskExecutor.js';
+import type { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type { UpstreamReport } from '../../src/ports/UpstreamRegistry.js';
-import { AddressExecutor } from './AddressExecutor.js';
+import { AddressUpstreamApi } from './AddressUpstreamApi.js';
 import { CAPACITY, ROOM_TASKS } from './checkDispatchWorld.js';
 import { ROUTE, STEP } from './dispatchFixtures.js';
 import type { WorldAgent, WorldUpstream } from './dispatchWorldState.js';
@@ -126,9 +126,9 @@
   }
 
   /** Opens the way to a life that has reported itself. */
-  openExecutor(id: string, findAgent: () => WorldAgent): TaskExecutor {
+  openExecutor(id: string, findAgent: () => WorldAgent): UpstreamApi {
     const { upstream } = findAgent();
-    if (this.keepsIds) return new AddressExecutor(() => findAgent().upstream.fake);
+    if (this.keepsIds) return new AddressUpstreamApi(() => findAgent().upstream.fake);
     if (id === upstream.id) return upstream.fake;
     const gone = new FakeUpstream(this.clock);
     gone.isReplaced = true;
--- a/test/fakes/runDispatchWorld.ts
+++ b/test/fakes/runDispatchSimulation.ts
@@ -14,7 +14,7 @@
  * @returns what was submitted and how it was answered
  * @throws when a promise is broken, with seed and commands
  */
-export async function runDispatchWorld(
+export async function runDispatchSimulation(
   drawn: typeof dispatchCommands,
   seed: number,
   runs: number,
--- a/test/operatorWord.test.ts
+++ b/test/operatorWord.test.ts
@@ -40,8 +40,8 @@
       adopt: (configuration) => exchange.adoptConfiguration(configuration, 'store'),
       adoptEmptied: (emptied) => exchange.adoptEmptied(emptied, 'store'),
       changeDomain: (change) => exchange.changeDomain(change, 'store'),
-      noteFindings: (subject, findings) => rejected.push(`${subject} ${findings[0]?.pointer}`),
-      note: (state) => states.push(state),
+      reportFindings: (subject, findings) => rejected.push(`${subject} ${findings[0]?.pointer}`),
+      reportState: (state) => states.push(state),
     });
   }
 
--- a/test/otherWriters.test.ts
+++ b/test/otherWriters.test.ts
@@ -6,7 +6,7 @@
 
 import { HttpUpstreamRegistry } from '../platform/HttpUpstreamRegistry.js';
 import { LogConfigurationSource } from '../platform/LogConfigurationSource.js';
-import { LogUpstreamMemory } from '../platform/LogUpstreamMemory.js';
+import { LogUpstreamReportStore } from '../platform/LogUpstreamReportStore.js';
 import { BEAT_PREFIX, LEAVE_PREFIX } from '../platform/names.js';
 import type { UpstreamReport } from '../src/ports/UpstreamRegistry.js';
 import { OperatorExchange } from '../src/process/OperatorExchange.js';
@@ -52,8 +52,8 @@
       await registry.start({
         report: (report) => void reports.push(report),
         leave: (id) => void left.push(id),
-        noteRejected: () => void (rejected += 1),
-        noteFailure: (call, error) => {
+        recordRejected: () => void (rejected += 1),
+        recordFailure: (call, error) => {
           throw new Error(call, { cause: error });
         },
       });
@@ -156,8 +156,8 @@
         adopt: (configuration) => exchange.adoptConfiguration(configuration, 'store'),
         adoptEmptied: (emptied) => exchange.adoptEmptied(emptied, 'store'),
         changeDomain: (change) => exchange.changeDomain(change, 'store'),
-        noteFindings: (subject) => subjects.add(subject),
-        note: () => undefined,
+        reportFindings: (subject) => subjects.add(subject),
+        reportState: () => undefined,
       });
       const waitFor = async (holds: () => boolean): Promise<void> => {
         while (!holds()) await new Promise((resolve) => setTimeout(resolve, 10));
@@ -184,7 +184,7 @@
     });
 
     it('beside a report that is kept there, leaves it as it was', async () => {
-      const memory = new LogUpstreamMemory(address, 1);
+      const memory = new LogUpstreamReportStore(address, 1);
       const report: UpstreamReport = {
         id: 'i-1',
         bornAt: 5,
@@ -197,10 +197,10 @@
         sequence: 1,
       };
       try {
-        await memory.remember('agent-1', report);
+        await memory.save('agent-1', report);
         store.strangeItems.push(null, { key: 5 }, { value: '' }, { key: 'agent-2', value: 7 });
-        expect(await memory.recall('agent-1')).to.deep.equal(report);
-        expect(await memory.recall('agent-3')).to.equal(undefined);
+        expect(await memory.load('agent-1')).to.deep.equal(report);
+        expect(await memory.load('agent-3')).to.equal(undefined);
       } finally {
         memory.stop();
       }
--- a/test/roomByDemand.test.ts
+++ b/test/roomByDemand.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 
-import { RoomModel } from './fakes/RoomModel.js';
-import type { RoomCount, RoomPlay } from './fakes/RoomModel.js';
+import { CapacityModel } from './fakes/CapacityModel.js';
+import type { RoomCount, RoomPlay } from './fakes/CapacityModel.js';
 
 const SEED = 20261203;
 const WAY_MS = 1;
@@ -14,7 +14,7 @@
 
 async function play(change: Partial<RoomPlay>): Promise<RoomCount> {
   const base = { load: PEAK, wayMs: WAY_MS, seed: SEED, playMs: 5_000, countFromMs: 1_500 };
-  return new RoomModel({ ...base, sharing: 'demand', ...change }).run();
+  return new CapacityModel({ ...base, sharing: 'demand', ...change }).run();
 }
 
 function readReturned({ full, starts }: RoomCount): number {
@@ -77,21 +77,21 @@
   const FAILS_AT = 2_000;
 
   /** Share of the room that stands idle while tasks wait, once it has to be back. */
-  async function measureIdle(run: (model: RoomModel) => void): Promise<number> {
+  async function measureIdle(run: (model: CapacityModel) => void): Promise<number> {
     const events = [{ at: FAILS_AT, run }];
     const { idleWhileWaiting, steps } = await play({ events, countFromMs: FAILS_AT + BACK_MS, load: 1 });
     return idleWhileWaiting / steps;
   }
 
-  const failures: [string, (model: RoomModel) => void][] = [
+  const failures: [string, (model: CapacityModel) => void][] = [
     ['dies', ({ entries, agents }) => agents.forEach((agent) => endEntry(entries[0], agent))],
     ['freezes', ({ entries: [first] }) => first && (first.state = 'frozen')],
     ['is cut off', ({ entries: [first] }) => first && (first.isCut = true)],
   ];
 
   function endEntry(
-    entry: RoomModel['entries'][number] | undefined,
-    agent: RoomModel['agents'][number],
+    entry: CapacityModel['entries'][number] | undefined,
+    agent: CapacityModel['agents'][number],
   ): void {
     if (!entry) return;
     entry.state = 'dead';
--- a/test/scarceRoom.test.ts
+++ b/test/scarceRoom.test.ts
@@ -7,8 +7,8 @@
 import { FairOrder } from '../src/process/dispatcher/FairOrder.js';
 import { countService } from './fakes/countService.js';
 import type { Service } from './fakes/countService.js';
-import { judgeJob, LOADS, ScarceRoomModel } from './fakes/ScarceRoomModel.js';
-import type { ScarceRoomJob, ScarceRoomPlay } from './fakes/ScarceRoomModel.js';
+import { evaluateJob, LOADS, ScarceCapacityModel } from './fakes/ScarceCapacityModel.js';
+import type { ScarceCapacityJob, ScarceCapacityRun } from './fakes/ScarceCapacityModel.js';
 
 /** Of the random loads, so that a run that fails is there again. */
 const SEED = 20261203;
@@ -18,22 +18,22 @@
 /** Jobs refused at their first look have waited for less than this, ms. */
 const AT_ONCE_MS = 20;
 
-const TODAY: Partial<ScarceRoomPlay> = {};
-const FAIR: Partial<ScarceRoomPlay> = { createOrder: () => new FairOrder() };
-const NEW: Partial<ScarceRoomPlay> = {
+const TODAY: Partial<ScarceCapacityRun> = {};
+const FAIR: Partial<ScarceCapacityRun> = { createOrder: () => new FairOrder() };
+const NEW: Partial<ScarceCapacityRun> = {
   ...FAIR,
   createAdmission: () => new ForecastAdmission(createRandom(1)),
 };
 
 function play(
-  load: Omit<ScarceRoomPlay, 'seed'>,
-  ways: Partial<ScarceRoomPlay>,
+  load: Omit<ScarceCapacityRun, 'seed'>,
+  ways: Partial<ScarceCapacityRun>,
   seeds = SEEDS,
-): ScarceRoomJob[] {
-  return seeds.flatMap((seed) => new ScarceRoomModel({ ...load, ...ways, seed }).run().jobs);
+): ScarceCapacityJob[] {
+  return seeds.flatMap((seed) => new ScarceCapacityModel({ ...load, ...ways, seed }).run().jobs);
 }
 
-function playLoad(name: string, ways: Partial<ScarceRoomPlay>): Service {
+function playLoad(name: string, ways: Partial<ScarceCapacityRun>): Service {
   const load = LOADS[name];
   if (!load) throw new Error(`there is no load ${name}`);
   return countService(play(load, ways));
@@ -41,25 +41,25 @@
 
 /** Jobs of each verdict that arrived in a stretch of time. */
 function countVerdicts(
-  jobs: readonly ScarceRoomJob[],
+  jobs: readonly ScarceCapacityJob[],
   fromMs: number,
   untilMs: number,
 ): Record<string, number> {
   const counts: Record<string, number> = {};
   for (const job of jobs) {
     if (job.arrivedAt < fromMs || job.arrivedAt >= untilMs) continue;
-    const verdict = judgeJob(job);
+    const verdict = evaluateJob(job);
     counts[verdict] = (counts[verdict] ?? 0) + 1;
   }
   return counts;
 }
 
-function sumWork(jobs: readonly ScarceRoomJob[]): number {
+function sumWork(jobs: readonly ScarceCapacityJob[]): number {
   return jobs.reduce((sum, { work }) => sum + work, 0);
 }
 
-function sumWorkInTime(jobs: readonly ScarceRoomJob[]): number {
-  return sumWork(jobs.filter((job) => judgeJob(job) === 'in-time'));
+function sumWorkInTime(jobs: readonly ScarceCapacityJob[]): number {
+  return sumWork(jobs.filter((job) => evaluateJob(job) === 'in-time'));
 }
 
 describe('fair order and forecast admission', function () {
@@ -103,7 +103,7 @@
         fc.integer({ min: 0, max: 1_000 }),
         fc.double({ min: 0.5, max: 2, noNaN: true }),
         (seed, load) => {
-          const model = new ScarceRoomModel({ lengthMs: 3_000, bursts: [], seed, load, ...NEW }).run();
+          const model = new ScarceCapacityModel({ lengthMs: 3_000, bursts: [], seed, load, ...NEW }).run();
           expect(model.idleAt).to.deep.equal([]);
         },
       ),
@@ -157,7 +157,7 @@
     ).to.be.at.least(1 - NOISE);
     const justBefore = jobs.filter(({ arrivedAt }) => arrivedAt >= 4_450 && arrivedAt < 4_500);
     const refusedAtOnce = justBefore.filter(
-      (job) => judgeJob(job) === 'refused' && job.answeredAt - job.arrivedAt <= AT_ONCE_MS,
+      (job) => evaluateJob(job) === 'refused' && job.answeredAt - job.arrivedAt <= AT_ONCE_MS,
     );
     expect(refusedAtOnce).to.have.lengthOf(0);
   });
--- a/test/suspendedVms.test.ts
+++ b/test/suspendedVms.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from 'chai';
 
-import { AgentCore } from '../src/process/executor/AgentCore.js';
+import { Executor } from '../src/process/executor/Executor.js';
 import { Dispatcher } from '../src/process/dispatcher/Dispatcher.js';
 import { PauseGuard } from '../src/process/PauseGuard.js';
 import { FencingTokens } from '../src/process/executor/FencingTokens.js';
@@ -28,7 +28,7 @@
   let world: FakeClock;
   let vm: ProcessGate;
   let upstream: FakeUpstream;
-  let core: AgentCore;
+  let core: Executor;
   let results: string[];
   /** Lease of the upstream when the newest end was told. */
   let leaseAtEnd: number;
@@ -40,26 +40,26 @@
       isUpstreamThere ? { now: () => vm.readSteady(), sleep: (ms) => vm.sleep(ms) } : world,
     );
     upstream.taskMs = LONG_TASK_MS;
-    core = new AgentCore(
+    core = new Executor(
       { agent: 'agent', life: '1', failureDomain: 'x', startedAt: 1_000_000 },
       { leaseMs: LEASE_MS, maxLeaseMs: 1_000, stopMs: 50, orphanAfterMs: ORPHAN_AFTER_MS },
       vm,
       {
-        openExecutor: () => new GatedExecutor(upstream, vm),
+        openApi: () => new GatedExecutor(upstream, vm),
         sendResult: (_, { name, end, reason }) => {
           results.push(`${name.index} ${end} ${reason}`);
           leaseAtEnd = upstream.leaseUntil;
         },
         sendCrashes: () => undefined,
-        noteJoined: () => undefined,
-        noteChange: () => undefined,
-        noteCapacity: () => undefined,
+        handleJoined: () => undefined,
+        handleChange: () => undefined,
+        handleCapacityChange: () => undefined,
         log: (event) => void logged.push(event),
       },
     );
-    core.noteReport(buildUpstreamReport({ clockMs: upstream.clockMs }));
+    core.handleReport(buildUpstreamReport({ clockMs: upstream.clockMs }));
     await world.advance(50);
-    core.noteWelcome(ENTRY, vm.now());
+    core.handleWelcome(ENTRY, vm.now());
   }
 
   /** Suspends the VM, and goes on until it has just woken. */
@@ -69,7 +69,7 @@
   }
 
   function echo(entry: string): void {
-    core.noteEcho(entry, { type: 'pong', at: vm.now(), version: 1, typicalSpeed: 1, isWaiting: false });
+    core.handlePong(entry, { type: 'pong', at: vm.now(), version: 1, typicalSpeed: 1, isWaiting: false });
   }
 
   beforeEach(() => {
@@ -145,7 +145,7 @@
   it('stops what ran for a silent dispatcher before it starts a task of another', async () => {
     await createCore(true);
     core.handleStart(OTHER_ENTRY, buildStartOrder(0));
-    core.noteWelcome(OTHER_ENTRY, vm.now());
+    core.handleWelcome(OTHER_ENTRY, vm.now());
     core.handleStart(OTHER_ENTRY, buildStartOrder(1));
     await world.advance(100);
     await suspend();
@@ -160,7 +160,7 @@
   // Between two looks at proofs, without any suspension: an order must not prolong what should have been stopped.
   it('stops what ran for a silent dispatcher also when an order comes before the next look', async () => {
     await createCore(true);
-    core.noteWelcome(OTHER_ENTRY, vm.now());
+    core.handleWelcome(OTHER_ENTRY, vm.now());
     core.handleStart(OTHER_ENTRY, buildStartOrder(1));
     await world.advance(ORPHAN_AFTER_MS - 20);
     echo(ENTRY);
@@ -239,7 +239,7 @@
     dispatcher.place(vm.now());
     await suspend();
     await world.advance(1);
-    guard.look(vm.now());
+    guard.update(vm.now());
     expect(caller.answers).to.deep.equal([{ kind: 'interrupted', reason: 'paused' }]);
   });
 });
