--- a/bench/defects.ts
+++ b/bench/defects.ts
@@ -100,10 +100,10 @@
   {
     name: 'a refusal without a lookup',
     file: 'src/process/entry/submitJob.js',
-    find: "startClaim(state, job, job.refusal ? 'lookup' : 'claim', now);\n}\n/** Twice",
+    find: "startClaim(state, job, job.refusal ? 'lookup' : 'claim', now);\n}\n/** Checks whether the entry is leaving",
     replace:
       "if (!job.refusal) return startClaim(state, job, 'claim', now); changeJob(job, 'refuse'); " +
-      "state.active.delete(job); job.answer = { outcome: 'refused', ...job.refusal }; deliverAnswer(state, job);\n}\n/** Twice",
+      "state.active.delete(job); job.answer = { outcome: 'refused', ...job.refusal }; deliverAnswer(state, job);\n}\n/** Checks whether the entry is leaving",
   },
 ];
 
--- a/src/process/entry/EntryDaemon.ts
+++ b/src/process/entry/EntryDaemon.ts
@@ -1,4 +1,4 @@
-/** The entry as a daemon: an `EntryNode` with HTTP, links and the platform. */
+/** The entry process: connects an `EntryNode` to HTTP, peer links and the platform. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -26,29 +26,29 @@
 import { DEFAULT_ENTRY_LIMITS } from './entryState.js';
 import type { EntryLimits, EntryPolicy } from './entryState.js';
 
-/** Between two readings of the live list, ms. */
-const LIVE_MS = 1_500;
-/** How long a leaving entry still takes jobs, so that the balancer can notice, ms. */
+/** Interval between reads of the platform's list of live VMs, ms. */
+const LIVE_POLL_MS = 1_500;
+/** How long a leaving entry still accepts jobs, so that the load balancer can stop routing to it, ms. */
 const LEAVE_GRACE_MS = 2_000;
-/** Longest wait until the log shows that a leaving entry is no member any more, ms. */
-const RESIGN_MS = 2_000;
-/** Longest timer that is set for an event's start, ms. */
+/** Longest wait for the log to confirm that a leaving entry is no longer a member, ms. */
+const RESIGN_TIMEOUT_MS = 2_000;
+/** Longest timer set for an event's start, ms. */
 const MAX_TIMER_MS = 60_000;
-/** Retry hint for callers that are not even read, ms. */
-const FULL_RETRY_MS = 1_000;
+/** Retry hint for requests rejected before their body is read, ms. */
+const UNAVAILABLE_RETRY_MS = 1_000;
 
-/** An entry process. */
+/** Accepts jobs over HTTP and runs the entry's state machine. */
 export class EntryDaemon extends DaemonBase {
   protected override readonly role = 'entry';
   private node!: EntryNode;
-  private desk!: CommandDesk;
+  private commandService!: CommandDesk;
   private readonly callers = new Map<string, ServerResponse>();
   private nextCaller = 1;
-  private live: readonly LiveVm[] = [];
-  /** Addresses dialed for sweeps, beside the chosen agents. */
-  private readonly extra = new Set<string>();
+  private liveVms: readonly LiveVm[] = [];
+  /** Addresses of agents dialed only to sweep them. */
+  private readonly sweepAddresses = new Set<string>();
   private startTimer: NodeJS.Timeout | undefined;
-  private timedOffset = -1;
+  private startTimerOffset = -1;
 
   constructor(
     protected override readonly settings: EntrySettings,
@@ -75,12 +75,12 @@
     const nextRandom = createRandom(Math.floor(readClock()));
     const policy = createPolicy(this.settings, nextRandom);
     this.node = new EntryNode(this.peer, createLimits(this.settings), membership, { policy, nextRandom });
-    this.desk = new CommandDesk(this.node, this.platform, (to, message) => {
+    this.commandService = new CommandDesk(this.node, this.platform, (to, message) => {
       this.hub.send(to, message);
       this.turns.run(() => undefined);
     });
-    this.every(LIVE_MS, () => void this.readLive());
-    void this.readLive();
+    this.every(LIVE_POLL_MS, () => void this.updateLiveVms());
+    void this.updateLiveVms();
   }
 
   protected override buildHello(): Hello {
@@ -99,15 +99,15 @@
 
   protected override receive(peer: string, messages: readonly Message[], now: number): void {
     for (const message of messages) {
-      if (message.type === 'ask') this.desk.answerAsk(peer, message, now);
-      else if (message.type === 'told') this.desk.noteTold(peer, message);
+      if (message.type === 'ask') this.commandService.answerAsk(peer, message, now);
+      else if (message.type === 'told') this.commandService.noteTold(peer, message);
       else this.node.receive(peer, message, now);
     }
   }
 
   protected override applyLog(entries: readonly LogEntry[], now: number): void {
     this.node.followLog(entries, now);
-    this.armStartTimer(now);
+    this.scheduleEventStart(now);
     if (this.node.isRemoved && this.life.getSnapshot().value === 'ready') {
       this.logger.error('removed-by-others', {});
       void this.stop();
@@ -123,9 +123,9 @@
   }
 
   protected override endTurn(now: number): void {
-    for (const effect of this.node.takeEffects(now)) this.carryOut(effect);
+    for (const effect of this.node.takeEffects(now)) this.applyEffect(effect);
     this.hub.flush();
-    this.desk.noteConfig();
+    this.commandService.noteConfig();
   }
 
   protected override revalidate(): void {
@@ -163,21 +163,21 @@
 
   protected override routeHttp(request: IncomingMessage, response: ServerResponse, path: string): boolean {
     if (path === '/v1/jobs' && request.method === 'POST') {
-      void this.takeJob(request, response);
+      void this.handleJobRequest(request, response);
       return true;
     }
     if (path.startsWith('/v1/jobs/') && request.method === 'GET') {
-      void this.showJob(decodeURIComponent(path.slice('/v1/jobs/'.length)), response);
+      void this.handleJobQuery(decodeURIComponent(path.slice('/v1/jobs/'.length)), response);
       return true;
     }
     if (path === '/v1/commands' && request.method === 'POST') {
-      void this.takeCommand(request, response);
+      void this.handleCommand(request, response);
       return true;
     }
     return false;
   }
 
-  private carryOut(effect: EntryNodeEffect): void {
+  private applyEffect(effect: EntryNodeEffect): void {
     switch (effect.type) {
       case 'send':
         return this.hub.send(effect.to, effect.message);
@@ -202,12 +202,13 @@
     writeAnswer(response, job, answer);
   }
 
-  private async takeJob(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    if (this.callers.size >= this.settings.maxCallers) return this.refuseUnread(response, 'too-many-callers');
-    // Without the log's configuration the events are not known, and a good job would look wrong.
-    if (!this.node.isMember) return this.refuseUnread(response, 'not-ready');
+  private async handleJobRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    if (this.callers.size >= this.settings.maxCallers)
+      return this.writeUnavailable(response, 'too-many-callers');
+    // Before the configuration has been read from the log, valid jobs would fail validation.
+    if (!this.node.isMember) return this.writeUnavailable(response, 'not-ready');
     const body = await readBody(request, this.settings.maxBodyBytes);
-    if (!body.ok) return this.refuseBody(body.reason, response);
+    if (!body.ok) return this.writeBodyError(body.reason, response);
     const input = parseJson(body.text);
     if (input === undefined) return writeFindings(response, [{ pointer: '', message: 'is not JSON' }]);
     const caller = String(request.headers['marblehall-caller'] ?? '');
@@ -229,58 +230,67 @@
     return caller;
   }
 
-  /** Nothing is known of the job, so nothing can be said of whether it ran. */
-  private refuseUnread(response: ServerResponse, reason: string): void {
-    const text = JSON.stringify({ outcome: 'failed', ran: 'unknown', reason, retryAfterMs: FULL_RETRY_MS });
+  /** Rejects a request without reading its body. Its job may have run before, so `ran` is unknown. */
+  private writeUnavailable(response: ServerResponse, reason: string): void {
+    const text = JSON.stringify({
+      outcome: 'failed',
+      ran: 'unknown',
+      reason,
+      retryAfterMs: UNAVAILABLE_RETRY_MS,
+    });
     writeJson(response, 503, text, { 'retry-after': '1', connection: 'close' });
   }
 
-  private refuseBody(reason: 'too-large' | 'cut', response: ServerResponse): void {
+  private writeBodyError(reason: 'too-large' | 'cut', response: ServerResponse): void {
     if (reason === 'cut') return void response.destroy();
     const { maxBodyBytes } = this.settings;
     const text = JSON.stringify({ error: 'too-large', maxBodyBytes });
     writeJson(response, 413, text, { connection: 'close' });
   }
 
-  private async showJob(job: string, response: ServerResponse): Promise<void> {
-    const row = await this.desk.findJob(job, readClock());
+  private async handleJobQuery(job: string, response: ServerResponse): Promise<void> {
+    const row = await this.commandService.findJob(job, readClock());
     if (row) return writeJson(response, 200, JSON.stringify(row));
     writeJson(response, 404, JSON.stringify({ job, error: 'no such job' }));
   }
 
-  private async takeCommand(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleCommand(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const expected = `Bearer ${this.settings.secret}`;
     const body = await readBody(request, this.settings.maxBodyBytes);
-    if (!body.ok) return this.refuseBody(body.reason, response);
+    if (!body.ok) return this.writeBodyError(body.reason, response);
     const { text } = (parseJson(body.text) ?? {}) as { text?: unknown };
     if (typeof text !== 'string')
       return writeFindings(response, [{ pointer: '/text', message: 'must be string' }]);
-    const authorized = this.desk.isAuthorized(text, String(request.headers.authorization ?? ''), expected);
+    const authorized = this.commandService.isAuthorized(
+      text,
+      String(request.headers.authorization ?? ''),
+      expected,
+    );
     if (!authorized) return writeJson(response, 401, '{"error":"commands need the shared secret"}');
-    const answer = await this.desk.runCommand(text, readClock());
+    const answer = await this.commandService.runCommand(text, readClock());
     this.logger.info('command', { text, status: answer.status });
     writeJson(response, answer.status, JSON.stringify(answer.body));
   }
 
-  private async readLive(): Promise<void> {
+  private async updateLiveVms(): Promise<void> {
     try {
-      this.live = await this.platform.listLive();
+      this.liveVms = await this.platform.listLive();
     } catch {
-      // The last list serves on; links show by themselves who is gone.
+      // Keep the last list; links detect unreachable peers on their own.
       return;
     }
     this.turns.run(() => {
-      for (const vm of this.live) {
-        if (vm.role === 'agent' && vm.leaving) this.node.noteProcessLeaving(vm.id);
+      for (const vm of this.liveVms) {
+        if (vm.role === 'agent' && vm.leaving) this.node.markProcessLeaving(vm.id);
       }
     });
-    this.keepLinks();
+    this.updateLinks();
   }
 
-  /** Dials the chosen agents, all registrars, and the entries with a greater id; hangs up the others. */
-  private keepLinks(): void {
-    const wanted = new Set(this.extra);
-    const agents = this.live.filter((vm) => vm.role === 'agent' && !vm.leaving);
+  /** Dials the selected agents, all registrars and the entries with a greater id; closes the other links. */
+  private updateLinks(): void {
+    const wanted = new Set(this.sweepAddresses);
+    const agents = this.liveVms.filter((vm) => vm.role === 'agent' && !vm.leaving);
     for (const { address } of chooseAgents(agents, this.settings.id, this.settings.maxAgents))
       wanted.add(address);
     const { config } = this.node.state;
@@ -289,35 +299,35 @@
       if (!isEntry || findProcessId(peer) > this.settings.id) wanted.add(address);
     }
     for (const address of wanted) this.hub.dial(address);
-    const leaving = new Set(this.live.filter((vm) => vm.leaving).map((vm) => vm.address));
+    const leaving = new Set(this.liveVms.filter((vm) => vm.leaving).map((vm) => vm.address));
     for (const address of [...this.hub.addresses]) {
-      // A leaving agent still delivers what it runs.
+      // A leaving agent still has results to deliver.
       if (!wanted.has(address) && !leaving.has(address)) this.hub.hangUp(address);
     }
   }
 
   private dialPeer(peer: string): void {
-    const vm = this.live.find((one) => one.id === findProcessId(peer));
+    const vm = this.liveVms.find((one) => one.id === findProcessId(peer));
     if (!vm) return;
-    this.extra.add(vm.address);
+    this.sweepAddresses.add(vm.address);
     this.hub.dial(vm.address);
-    setTimeout(() => this.extra.delete(vm.address), LIVE_MS * 10).unref();
+    setTimeout(() => this.sweepAddresses.delete(vm.address), LIVE_POLL_MS * 10).unref();
   }
 
-  /** Held jobs are let go at the event's start and not at the next tick. */
-  private armStartTimer(now: number): void {
+  /** Sets a timer that releases held jobs exactly at the next event's start, without waiting for a tick. */
+  private scheduleEventStart(now: number): void {
     const { config } = this.node.state;
-    if (config.offset === this.timedOffset) return;
-    this.timedOffset = config.offset;
+    if (config.offset === this.startTimerOffset) return;
+    this.startTimerOffset = config.offset;
     clearTimeout(this.startTimer);
     const next = Math.min(...config.events.map((event) => event.startAt).filter((startAt) => startAt > now));
     if (!Number.isFinite(next)) return;
     this.startTimer = setTimeout(
       () => {
-        this.timedOffset = -1;
+        this.startTimerOffset = -1;
         this.turns.run((at) => {
-          this.node.releaseHeld(at);
-          this.armStartTimer(at);
+          this.node.releaseHeldJobs(at);
+          this.scheduleEventStart(at);
         });
       },
       Math.min(MAX_TIMER_MS, next - now),
@@ -327,7 +337,7 @@
   private async resign(): Promise<void> {
     if (this.life.getSnapshot().value !== 'leaving' || !this.node.isMember) return;
     this.turns.run(() => this.node.resign());
-    const until = readClock() + RESIGN_MS;
+    const until = readClock() + RESIGN_TIMEOUT_MS;
     while (this.node.isMember && readClock() < until) await sleep(20);
   }
 }
--- a/src/process/entry/EntryNode.test.ts
+++ b/src/process/entry/EntryNode.test.ts
@@ -32,10 +32,10 @@
   { type: 'join', id: 'e', role: 'entry', peer: SELF, address: 'h:2' },
 ];
 
-/** What a result needs of the start that it answers. */
+/** The fields of a start that its result repeats. */
 type StartedTask = Pick<Start, 'job' | 'epoch' | 'index' | 'attempt'>;
 
-/** An entry with one agent of some slots, which is also the registrar. */
+/** An entry with one linked agent, which is also the registrar. */
 class Bench {
   readonly node: EntryNode;
   readonly answers = new Map<string, JobAnswer>();
@@ -85,7 +85,7 @@
     return this.sent.filter((message): message is Extract<Message, { type: T }> => message.type === type);
   }
 
-  /** Answers the last claim as the registrar would. */
+  /** Answers the last claim in place of the registrar. */
   answerClaim(changes: Partial<Claimed> = {}, now = NOW): void {
     const claim = this.find('claim').at(-1) as Claim;
     const base = { epoch: { version: 1, counter: claim.id }, owner: SELF, members: [], digest: claim.digest };
@@ -110,7 +110,7 @@
 }
 
 describe('EntryNode', () => {
-  it('claims before it starts, and answers whole in the order of the tasks', () => {
+  it('claims a job before starting its tasks and returns the answers in task order', () => {
     const bench = new Bench(4);
     bench.submit('job-1', 'quote', 2, 'c1');
     expect(bench.find('start')).to.be.empty;
@@ -125,7 +125,7 @@
     ]);
   });
 
-  it('attaches a second submission to the first, and refuses other contents under the same key', () => {
+  it('attaches a repeated submission to the first and reports a conflict for other contents under its key', () => {
     const bench = new Bench(4);
     bench.submit('job-1', 'quote', 1, 'c1');
     bench.answerClaim();
@@ -138,7 +138,7 @@
     expect(bench.answers.get('c2')?.outcome).to.equal('complete');
   });
 
-  it('sweeps when the registrar knows an earlier grant, and starts nothing until all have answered', () => {
+  it('sweeps the members of an earlier grant and starts nothing until all have answered', () => {
     const bench = new Bench(4);
     bench.submit('job-1', 'quote', 2, 'c1');
     bench.answerClaim({ members: [AGENT] });
@@ -151,7 +151,7 @@
     expect(bench.find('start').map(({ index }) => index)).to.deep.equal([0]);
   });
 
-  it('serves the more urgent job first when a credit comes back', () => {
+  it('starts the more urgent job first when a credit is returned', () => {
     const bench = new Bench(1);
     for (const [job, name] of [
       ['job-1', 'ping'],
@@ -166,7 +166,7 @@
     expect(bench.find('start').map(({ job: key }) => key)).to.deep.equal(['job-3']);
   });
 
-  it('refuses a waiting job once it will be late, after asking whether it is still its own', () => {
+  it('refuses a waiting job predicted to be late after a lookup confirms that it still owns the job', () => {
     const bench = new Bench(1);
     bench.submit('job-1', 'ping', 1, 'c1');
     bench.answerClaim();
@@ -182,7 +182,7 @@
     expect(bench.answers.get('c2')).to.include({ outcome: 'refused', reason: 'predicted-late' });
   });
 
-  it('starts nothing in a failure domain that is emptied, until it is taken back', () => {
+  it('starts no tasks in an emptied failure domain until the domain is restored', () => {
     const bench = new Bench(4);
     const log = (offset: number, isEmptied: boolean): void => {
       const record: LogRecord = { type: 'domain', id: `d${offset}`, failureDomain: 'd', isEmptied };
--- a/src/process/entry/EntryNode.ts
+++ b/src/process/entry/EntryNode.ts
@@ -1,4 +1,4 @@
-/** One entry process without its input and output: messages, log records and time in, effects out. */
+/** Logic of an entry process without I/O: takes messages, log records and the time, and returns effects. */
 import { findProcessId } from '../../connection/findProcessId.js';
 import type { Heartbeat, Hello, Message } from '../../connection/messages.js';
 import type { JobRequest } from '../../request/job.js';
@@ -11,9 +11,9 @@
 import type { ProposalState } from '../membership.js';
 import { proposeSnapshot } from '../proposeSnapshot.js';
 import { hasLease } from './_lib/sendClaim.js';
-import { applyEntryConfig, noteAnnounced } from './applyEntryConfig.js';
+import { applyEntryConfig, recordAnnounced } from './applyEntryConfig.js';
 import { handleAttach, handleAttached } from './attachJob.js';
-import { closePeerLink, loseAgent, notePeerLeaving, openPeerLink } from './entryLinks.js';
+import { closePeerLink, removeLostAgent, markPeerLeaving, openPeerLink } from './entryLinks.js';
 import { createEntryState } from './entryState.js';
 import type { EntryEffect, EntryLimits, EntryPolicy, EntryState } from './entryState.js';
 import { finishTurn } from './finishTurn.js';
@@ -22,32 +22,33 @@
 import { placeTasks } from './placeTasks.js';
 import { submitJob } from './submitJob.js';
 import { handleSwept } from './sweepJob.js';
-import { releaseHeld, tickEntry } from './tickEntry.js';
+import { releaseHeldJobs, tickEntry } from './tickEntry.js';
 
-/** Share of the lease after which a heartbeat goes out even on a busy link. */
-const FULL_BEAT_SHARE = 0.75;
+/** Share of the lease after which a heartbeat is sent even on a busy link. */
+const FULL_HEARTBEAT_SHARE = 0.75;
 
 /**
- * Share of the time before a member's removal after which a majority must have been heard: links of one cut break within
- * the first half of it, and heartbeats come within the second.
+ * Share of `removeAfterMs`, counted from the loss of a member, after which a message from a majority of the
+ * registrars shows that this entry is not isolated. The links cut by one network partition may fail up to half
+ * of that time apart; heartbeats arrive within the other half.
  */
-const REMOVAL_PROOF_SHARE = 0.5;
+const REMOVAL_CONTACT_SHARE = 0.5;
 
-/** Times of an entry's membership, ms. */
+/** Membership settings of an entry. Times in ms. */
 export interface EntryMembership {
   readonly address: string;
   readonly failureDomain: string;
-  /** Between heartbeats on a link. */
+  /** Interval between heartbeats on a link. */
   readonly heartbeatMs: number;
-  /** How long a member is out of reach before its removal is proposed. */
+  /** How long a member is unreachable before its removal is proposed. */
   readonly removeAfterMs: number;
-  /** Before a proposal without effect is repeated. */
+  /** Wait before a proposal without effect is repeated. */
   readonly proposeRepeatMs: number;
-  /** Records after which a snapshot is due. */
+  /** Number of log records between snapshots. */
   readonly snapshotEvery: number;
 }
 
-/** Times that the daemons start with. */
+/** Default membership settings. */
 export const DEFAULT_ENTRY_MEMBERSHIP: Omit<EntryMembership, 'address' | 'failureDomain'> = {
   heartbeatMs: 1_000,
   removeAfterMs: 2_000,
@@ -55,16 +56,16 @@
   snapshotEvery: 200,
 };
 
-/** An effect of an entry, or a record that it wants on the log. */
+/** An effect of an entry, or a record to append to the log. */
 export type EntryNodeEffect = EntryEffect | { readonly type: 'append'; readonly record: LogRecord };
 
 /** An entry process as a pure state machine over messages and time. */
 export class EntryNode {
   readonly state: EntryState;
   private readonly proposals: ProposalState;
-  private readonly missingSince = new Map<string, number>();
+  private readonly unreachableSince = new Map<string, number>();
   private heartbeatAt = 0;
-  private beats = 0;
+  private heartbeatRounds = 0;
   private appends: LogRecord[] = [];
   private wasMember = false;
 
@@ -78,12 +79,12 @@
     this.proposals = { proposedAt: new Map(), repeatMs: membership.proposeRepeatMs };
   }
 
-  /** True while the log lists this incarnation, so that it may claim. */
+  /** True while the log lists this incarnation as a member; only members may claim. */
   get isMember(): boolean {
     return this.state.config.entries.some((entry) => entry.peer === this.state.peer);
   }
 
-  /** True once the log listed this incarnation and then removed it: the process must be replaced. */
+  /** True once the log has removed this incarnation; the process must be restarted. */
   get isRemoved(): boolean {
     return this.wasMember && !this.isMember;
   }
@@ -96,32 +97,32 @@
     return { type: 'hello', peer, role: 'entry', offset: config.offset, ...place, leaving };
   }
 
-  /** Takes a link into use. */
+  /** Handles a new link. */
   openLink(hello: Hello, now: number): void {
     openPeerLink(this.state, hello, now);
-    this.compareOffset(hello.peer, hello.offset);
+    this.requestNewerState(hello.peer, hello.offset);
   }
 
-  /** Notes that a link is down. */
+  /** Handles the loss of a link. */
   closeLink(peer: string, now: number): void {
     closePeerLink(this.state, peer, now);
   }
 
-  /** Takes a submission; the answer comes as an effect. */
+  /** Accepts a submission; the answer is returned later as an effect. */
   submit(request: JobRequest, caller: string, now: number): void {
     submitJob(this.state, request, caller, now);
   }
 
-  /** Handles one message of a linked peer. */
+  /** Handles one message from a linked peer. */
   receive(from: string, message: Message, now: number): void {
     const view = this.state.peers.get(from);
-    if (view) view.heardAt = now;
+    if (view) view.lastReceivedAt = now;
     const { state } = this;
     switch (message.type) {
       case 'result':
         return handleResult(state, from, message, now);
       case 'credit':
-        return this.noteCredit(from, message.granted);
+        return this.recordCredit(from, message.granted);
       case 'claimed':
         return handleClaimed(state, from, message, now);
       case 'swept':
@@ -131,83 +132,83 @@
       case 'attached':
         return handleAttached(state, from, message, now);
       case 'announced':
-        return noteAnnounced(state, from, message.offset);
+        return recordAnnounced(state, from, message.offset);
       case 'leaving':
-        return notePeerLeaving(state, from);
+        return markPeerLeaving(state, from);
       case 'heartbeat':
         return this.handleHeartbeat(from, message);
       case 'stateRequest':
         return this.sendState(from, message.offset);
       case 'stateReply':
-        return this.adoptState(message.state, now);
+        return this.applyState(message.state, now);
       default:
         return;
     }
   }
 
-  /** Applies records read from the log; an empty read still proves that the log was reached. */
+  /** Applies records read from the log. An empty read renews the lease too. */
   followLog(entries: readonly LogEntry[], now: number): void {
-    this.state.heardLogAt = now;
-    this.useConfig(followLog(this.state.config, entries), now);
+    this.state.logReadAt = now;
+    this.applyConfig(followLog(this.state.config, entries), now);
   }
 
-  /** Does what time brings. */
+  /** Runs the periodic work: timeouts, heartbeats and membership proposals. */
   tick(now: number): void {
     tickEntry(this.state, now);
-    this.noteMajority();
+    this.updateMajorityContact();
     if (now - this.heartbeatAt >= this.membership.heartbeatMs) {
       this.heartbeatAt = now;
       this.sendHeartbeats(now);
     }
-    this.proposeMembers(now);
+    this.proposeMemberChanges(now);
   }
 
-  /** Gives an agent incarnation up that the platform says is gone. */
-  loseAgent(peer: string, now: number): void {
-    loseAgent(this.state, peer, 'agent-gone', now);
+  /** Removes an agent incarnation that the platform reports as gone. */
+  removeAgent(peer: string, now: number): void {
+    removeLostAgent(this.state, peer, 'agent-gone', now);
   }
 
-  /** After a pause nothing that was heard before counts. */
+  /** Invalidates the lease and all contact times after the process was paused. */
   revalidate(): void {
-    this.state.heardLogAt = Number.NEGATIVE_INFINITY;
-    this.state.heardMajorityAt = Number.NEGATIVE_INFINITY;
-    for (const peer of this.state.peers.values()) peer.heardAt = Number.NEGATIVE_INFINITY;
+    this.state.logReadAt = Number.NEGATIVE_INFINITY;
+    this.state.majorityReceivedAt = Number.NEGATIVE_INFINITY;
+    for (const peer of this.state.peers.values()) peer.lastReceivedAt = Number.NEGATIVE_INFINITY;
   }
 
-  /** Marks the agents of a process that the platform says is leaving. */
-  noteProcessLeaving(id: string): void {
+  /** Marks the agents of a process that the platform reports as leaving. */
+  markProcessLeaving(id: string): void {
     for (const peer of this.state.agents.keys()) {
-      if (findProcessId(peer) === id) notePeerLeaving(this.state, peer);
+      if (findProcessId(peer) === id) markPeerLeaving(this.state, peer);
     }
   }
 
-  /** Lets the jobs of started events go. */
-  releaseHeld(now: number): void {
-    releaseHeld(this.state, now);
+  /** Runs the held jobs whose events have started. */
+  releaseHeldJobs(now: number): void {
+    releaseHeldJobs(this.state, now);
   }
 
-  /** True when the entry may claim: it is a member and hears the log or a majority. */
+  /** True when the entry can serve jobs: it is a member, has a lease and has linked at least one agent. */
   isReady(now: number): boolean {
     return this.isMember && hasLease(this.state, now) && this.state.agents.size > 0;
   }
 
-  /** Proposes the end of this incarnation's own membership. */
+  /** Proposes to end this incarnation's membership. */
   resign(): void {
     const member = this.state.config.entries.find((entry) => entry.peer === this.state.peer);
     if (member) this.appends.push(createLeave(member.peer, member.joinedOffset));
   }
 
-  /** Refuses new jobs; those that are here are finished. */
+  /** Stops accepting new jobs; active jobs are finished. */
   leave(): void {
     this.state.leaving = true;
   }
 
-  /** True when a leaving entry has answered all its jobs. */
+  /** True when no job is active and no acknowledgement is unsent. */
   get isDrained(): boolean {
     return this.state.active.size === 0 && this.state.acks.size === 0;
   }
 
-  /** Ends a turn: places tasks and returns everything to carry out. */
+  /** Ends a turn: places tasks and returns the effects to apply. */
   takeEffects(now: number): readonly EntryNodeEffect[] {
     placeTasks(this.state, now);
     const effects: EntryNodeEffect[] = [...finishTurn(this.state)];
@@ -216,24 +217,24 @@
     return effects;
   }
 
-  private useConfig(config: ConfigState, now: number): void {
+  private applyConfig(config: ConfigState, now: number): void {
     if (config === this.state.config) return;
     applyEntryConfig(this.state, config, now);
     this.wasMember ||= this.isMember;
   }
 
-  private noteCredit(from: string, granted: number): void {
+  private recordCredit(from: string, granted: number): void {
     const agent = this.state.agents.get(from);
     if (agent) agent.granted = Math.max(agent.granted, granted);
   }
 
   private handleHeartbeat(from: string, heartbeat: Heartbeat): void {
-    this.noteCredit(from, heartbeat.granted);
-    this.compareOffset(from, heartbeat.offset);
+    this.recordCredit(from, heartbeat.granted);
+    this.requestNewerState(from, heartbeat.offset);
     if (heartbeat.reply) this.send(from, this.buildHeartbeat(false));
   }
 
-  private compareOffset(peer: string, offset: number): void {
+  private requestNewerState(peer: string, offset: number): void {
     if (offset <= this.state.config.offset) return;
     this.send(peer, { type: 'stateRequest', offset: this.state.config.offset });
   }
@@ -244,82 +245,87 @@
     this.send(to, { type: 'stateReply', offset: config.offset, state: JSON.stringify(config) });
   }
 
-  private adoptState(text: string, now: number): void {
+  private applyState(text: string, now: number): void {
     const config = JSON.parse(text) as ConfigState;
-    if (config.offset > this.state.config.offset) this.useConfig(config, now);
+    if (config.offset > this.state.config.offset) this.applyConfig(config, now);
   }
 
-  private noteMajority(): void {
+  private updateMajorityContact(): void {
     const registrars = this.state.config.registrars.map((member) => member.peer);
-    const at = findMajorityAt(registrars, (peer) => this.state.peers.get(peer)?.heardAt ?? -Infinity);
-    this.state.heardMajorityAt = at;
+    const at = findMajorityAt(registrars, (peer) => this.state.peers.get(peer)?.lastReceivedAt ?? -Infinity);
+    this.state.majorityReceivedAt = at;
   }
 
-  /** Traffic stands for heartbeats, but for every few, which renew the registrars' leases without the log. */
+  /**
+   * Sends heartbeats on idle links. Some rounds include the busy links too, because a heartbeat renews a
+   * registrar's lease while it cannot read the log.
+   */
   private sendHeartbeats(now: number): void {
-    this.beats += 1;
+    this.heartbeatRounds += 1;
     const message = this.buildHeartbeat(true, now);
-    const every = Math.floor((FULL_BEAT_SHARE * this.state.limits.leaseMs) / this.membership.heartbeatMs);
-    const toAll = !message.heardLog || this.beats % Math.max(1, every) === 0;
+    const roundsPerLease = Math.floor(
+      (FULL_HEARTBEAT_SHARE * this.state.limits.leaseMs) / this.membership.heartbeatMs,
+    );
+    const includeBusy = !message.heardLog || this.heartbeatRounds % Math.max(1, roundsPerLease) === 0;
     for (const { peer } of listMembers(this.state.config)) {
       const view = this.state.peers.get(peer);
       if (!view?.connected) continue;
-      if (toAll || now - view.heardAt >= this.membership.heartbeatMs) this.send(peer, message);
+      if (includeBusy || now - view.lastReceivedAt >= this.membership.heartbeatMs) this.send(peer, message);
     }
   }
 
   private buildHeartbeat(reply: boolean, now = this.heartbeatAt): Heartbeat {
-    const { config, peers, limits, heardLogAt } = this.state;
-    const heard = config.registrars.filter(
-      ({ peer }) => (peers.get(peer)?.heardAt ?? -Infinity) + limits.leaseMs > now,
+    const { config, peers, limits, logReadAt: logReadAt } = this.state;
+    const reachable = config.registrars.filter(
+      ({ peer }) => (peers.get(peer)?.lastReceivedAt ?? -Infinity) + limits.leaseMs > now,
     );
-    const heardLog = heardLogAt + limits.leaseMs > now;
+    const heardLog = logReadAt + limits.leaseMs > now;
     return {
       type: 'heartbeat',
       offset: config.offset,
-      registrarsHeard: heard.length,
+      registrarsHeard: reachable.length,
       heardLog,
       reply,
       granted: 0,
     };
   }
 
-  private proposeMembers(now: number): void {
+  private proposeMemberChanges(now: number): void {
     if (this.isRemoved) return;
     const { peer, config, leaving } = this.state;
     const records: LogRecord[] = [];
     if (!leaving)
       records.push(...proposeJoin(config, { role: 'entry', peer, address: this.membership.address }));
-    records.push(...this.listMissing(now).map((member) => createLeave(member.peer, member.joinedOffset)));
+    records.push(...this.listUnreachable(now).map((member) => createLeave(member.peer, member.joinedOffset)));
     const snapshot = proposeSnapshot(config, peer, this.membership.snapshotEvery);
     if (snapshot) records.push(snapshot);
     this.appends.push(...pickDueRecords(this.proposals, records, now));
   }
 
-  /** Members out of reach for too long; none while this entry itself may be the one that is cut off. */
-  private listMissing(now: number): { peer: string; joinedOffset: number }[] {
+  /** Lists the members unreachable for too long; none while this entry itself may be isolated. */
+  private listUnreachable(now: number): { peer: string; joinedOffset: number }[] {
     const { config, peers } = this.state;
     return listMembers(config).filter((member) => {
       if (member.peer === this.state.peer || peers.get(member.peer)?.connected) {
-        this.missingSince.delete(member.peer);
+        this.unreachableSince.delete(member.peer);
         return false;
       }
-      const since = this.missingSince.get(member.peer) ?? now;
-      this.missingSince.set(member.peer, since);
-      return now - since >= this.membership.removeAfterMs && !this.isIsolatedSince(since);
+      const since = this.unreachableSince.get(member.peer) ?? now;
+      this.unreachableSince.set(member.peer, since);
+      return now - since >= this.membership.removeAfterMs && !this.mayBeIsolatedSince(since);
     });
   }
 
   /**
-   * Whether this entry may have been cut off from the majority together with a member that it has lost: what it heard
-   * before may come from behind the same cut, whose links break one after another. With no registrar in reach at all,
-   * they are taken to be gone.
+   * Checks whether this entry, and not the member lost at `since`, may be the isolated one. Messages received
+   * shortly after `since` do not rule this out, because the links cut by a network partition fail one after
+   * another. When no registrar is connected, all of them are assumed to have failed.
    */
-  private isIsolatedSince(since: number): boolean {
-    const { config, peers, heardMajorityAt } = this.state;
+  private mayBeIsolatedSince(since: number): boolean {
+    const { config, peers, majorityReceivedAt: majorityReceivedAt } = this.state;
     if (config.registrars.length <= 1) return false;
     if (!config.registrars.some(({ peer }) => peers.get(peer)?.connected)) return false;
-    return heardMajorityAt - since < this.membership.removeAfterMs * REMOVAL_PROOF_SHARE;
+    return majorityReceivedAt - since < this.membership.removeAfterMs * REMOVAL_CONTACT_SHARE;
   }
 
   private send(to: string, message: Message): void {
--- a/src/process/entry/_lib/acks.ts
+++ b/src/process/entry/_lib/acks.ts
@@ -1,16 +1,16 @@
-/** Acknowledgements wait a while, so that many jobs share one message. */
+/** Batched acknowledgements: one message to an agent covers many jobs. */
 import type { EntryState } from '../entryState.js';
 
-/** Between two messages of acknowledgements to an agent, ms. */
-const ACK_EVERY_MS = 1_000;
+/** Interval between acknowledgements to an agent, ms. */
+const ACK_INTERVAL_MS = 1_000;
 
 /**
- * Notes that the entry holds an answer.
+ * Queues an acknowledgement of a task's answer.
  *
  * @param state - the entry's state
- * @param agent - where the task ran
+ * @param agent - the agent that ran the task
  * @param job - the job's key
- * @param index - of the task
+ * @param index - the task's index
  */
 export function addAck(state: EntryState, agent: string, job: string, index: number): void {
   if (!state.agents.has(agent)) return;
@@ -22,14 +22,14 @@
 }
 
 /**
- * Sends the acknowledgements that are due to agents that are linked: once a second, or at once when the
- * agent or this entry waits for them in order to leave.
+ * Sends the due acknowledgements to linked agents: once per interval, or at once when the agent or this entry is
+ * leaving.
  *
  * @param state - the entry's state
  * @param now - ms since the epoch
  */
 export function flushAcks(state: EntryState, now: number): void {
-  const due = state.leaving || now - state.ackedAt >= ACK_EVERY_MS;
+  const due = state.leaving || now - state.ackedAt >= ACK_INTERVAL_MS;
   if (due) state.ackedAt = now;
   for (const [agent, byJob] of state.acks) {
     const view = state.agents.get(agent);
--- a/src/process/entry/_lib/backlog.ts
+++ b/src/process/entry/_lib/backlog.ts
@@ -1,37 +1,37 @@
-/** Expected work by priority and size class, so that admission can tell what would be served first. */
+/** Expected work by priority and size class, from which admission control estimates the work ahead of a job. */
 import type { Job } from '../../../request/job.js';
 import type { EntryState } from '../entryState.js';
 
-/** Size classes for each priority: powers of two of the expected work in ms. */
+/** Number of size classes per priority: powers of two of the expected work in ms. */
 const SIZE_CLASSES = 32;
 
 /**
- * Finds the class of a job.
+ * Computes the backlog class of a job.
  *
  * @param priority - operator priority, 0 first
  * @param workMs - expected work, ms
- * @returns a number that grows with both
+ * @returns the class; jobs of a lower class are served first
  */
-export function findBacklogClass(priority: number, workMs: number): number {
+export function computeBacklogClass(priority: number, workMs: number): number {
   const size = Math.min(SIZE_CLASSES - 1, Math.ceil(Math.log2(Math.max(1, workMs))));
   return priority * SIZE_CLASSES + size;
 }
 
 /**
- * Adds work to a class, or takes it away.
+ * Adds a job's work to its class and to the shares of its caller and team.
  *
  * @param state - the entry's state
- * @param job - the job, by whose whole work the class goes
- * @param workMs - ms of one slot; negative to take away
+ * @param job - the job, whose total work selects the class
+ * @param workMs - ms of one slot; negative to subtract
  */
 export function addBacklog(state: EntryState, job: Job, workMs: number): void {
   addShare(state, `caller/${job.caller}`, workMs);
   addShare(state, `team/${job.team}`, workMs);
-  const key = findBacklogClass(job.priority, job.workMs);
+  const key = computeBacklogClass(job.priority, job.workMs);
   state.backlog.set(key, Math.max(0, (state.backlog.get(key) ?? 0) + workMs));
 }
 
-/** What callers and teams hold together, for fair shares. */
+/** Work of a caller, its team and all callers, for fair sharing. */
 export interface Shares {
   readonly totalMs: number;
   readonly callerMs: number;
@@ -41,11 +41,11 @@
 }
 
 /**
- * Finds how much of the entry's work a job's caller and team hold. Who is not told holds nothing.
+ * Finds how much of the entry's work belongs to a job's caller and team. An empty name has no work.
  *
  * @param state - the entry's state
- * @param job - the job that asks to be let in
- * @returns work in ms of one slot, and the number of holders
+ * @param job - the job to admit
+ * @returns work in ms of one slot, and the number of callers and teams, including the job's own
  */
 export function findShares(state: EntryState, job: Job): Shares {
   const sums = { caller: 0, team: 0 };
@@ -64,40 +64,41 @@
   };
 }
 
-/** Work below which a holder is forgotten, ms: sums of fractions do not end at zero. */
-const SHARE_FORGET_MS = 0.01;
+/** Work below which a caller or team is removed, ms; allows for rounding errors in the sums. */
+const MIN_SHARE_MS = 0.01;
 
 function addShare(state: EntryState, key: string, workMs: number): void {
   const sum = (state.shares.get(key) ?? 0) + workMs;
-  if (sum < SHARE_FORGET_MS) state.shares.delete(key);
+  if (sum < MIN_SHARE_MS) state.shares.delete(key);
   else state.shares.set(key, sum);
 }
 
-/** Arrivals are extrapolated only once they have lasted for this long, ms: a burst at the start is over by then. */
-const FORECAST_AFTER_MS = 1_000;
+/** How long tasks must have been waiting before arrivals are extrapolated, ms; excludes an initial burst. */
+const MIN_FORECAST_MS = 1_000;
 
 /**
- * Notes work that was let in, for the forecast.
+ * Records the arrival of admitted work for the forecast.
  *
  * @param state - the entry's state
- * @param job - a job that begins to run
+ * @param job - a job that starts to run
  * @param now - ms since the epoch
  */
-export function noteArrival(state: EntryState, job: Job, now: number): void {
+export function recordArrival(state: EntryState, job: Job, now: number): void {
   if (state.waitingTasks === 0) {
     state.arrivals.clear();
     state.busySince = now;
   }
-  const key = findBacklogClass(job.priority, job.remainingMs);
+  const key = computeBacklogClass(job.priority, job.remainingMs);
   state.arrivals.set(key, (state.arrivals.get(key) ?? 0) + job.remainingMs);
 }
 
 /**
- * Forecasts the work that is served before a new job: what waits now in its class and the more urgent ones, and
- * what will come of the latter if it comes as it has since tasks began to wait, for as long again at most.
+ * Forecasts the work that is served before a new job: the backlog of its own and all more urgent classes, plus
+ * the work expected to arrive in the more urgent classes meanwhile. Arrivals are extrapolated at their rate since
+ * tasks began to wait, up to the amount that has arrived so far.
  *
  * @param state - the entry's state
- * @param options - the new job's priority and expected work, the slots that serve, and the time
+ * @param options - the new job's priority and expected work, the slots that serve it, and the current time
  * @returns ms of one slot
  */
 export function forecastAhead(
@@ -109,15 +110,15 @@
     readonly now: number;
   },
 ): number {
-  const own = findBacklogClass(options.priority, options.workMs);
+  const own = computeBacklogClass(options.priority, options.workMs);
   const aheadMs = sumClasses(state.backlog, own + 1);
-  const lastedMs = options.now - state.busySince;
-  if (state.waitingTasks === 0 || lastedMs < FORECAST_AFTER_MS) return aheadMs;
+  const busyMs = options.now - state.busySince;
+  if (state.waitingTasks === 0 || busyMs < MIN_FORECAST_MS) return aheadMs;
   const arrivedMs = sumClasses(state.arrivals, own);
-  const rate = arrivedMs / lastedMs;
-  const mostMs = aheadMs + arrivedMs;
-  if (rate >= options.slots) return mostMs;
-  return Math.min(mostMs, (aheadMs * options.slots) / (options.slots - rate));
+  const rate = arrivedMs / busyMs;
+  const maxAheadMs = aheadMs + arrivedMs;
+  if (rate >= options.slots) return maxAheadMs;
+  return Math.min(maxAheadMs, (aheadMs * options.slots) / (options.slots - rate));
 }
 
 function sumClasses(classes: ReadonlyMap<number, number>, below: number): number {
--- a/src/process/entry/_lib/endJob.ts
+++ b/src/process/entry/_lib/endJob.ts
@@ -1,4 +1,4 @@
-/** The one way in which a job gets its outcome. */
+/** Functions that end a job with its one outcome. */
 import { assertInvariant } from '../../../_lib/assertInvariant.js';
 import type { Job, JobAnswer, Ran } from '../../../request/job.js';
 import type { EntryState } from '../entryState.js';
@@ -7,18 +7,18 @@
 import {
   changeJob,
   changeTask,
-  dropRequests,
+  clearRequests,
   isActive,
   isOwned,
   logDecision,
   withdrawJob,
 } from './jobChanges.js';
 
-/** Hint of an answer that names no better time, ms. */
+/** Default retry hint, ms. */
 const DEFAULT_RETRY_MS = 1_000;
 
 /**
- * Ends a job whose every task is answered.
+ * Ends a job whose tasks are all finished.
  *
  * @param state - the entry's state
  * @param job - the job
@@ -27,17 +27,17 @@
 export function completeJob(state: EntryState, job: Job, now: number): void {
   assertInvariant(
     job.tasks.every((task) => task.state === 'finished'),
-    `job ${job.key} would be answered in part`,
+    `job ${job.key} has unfinished tasks and cannot be completed`,
   );
   withdrawJob(state, job);
   changeJob(job, 'complete');
   const answers = job.tasks.map(({ status, answer }) => ({ status, body: answer }));
   ackTasks(state, job);
-  settleJob(state, job, { outcome: 'complete', answers }, now);
+  closeJob(state, job, { outcome: 'complete', answers }, now);
 }
 
 /**
- * Ends a job that cannot be answered whole. Its waiting tasks are stopped at the agents.
+ * Ends a job that cannot be completed, and cancels its waiting tasks at the agents.
  *
  * @param state - the entry's state
  * @param job - the job
@@ -50,15 +50,15 @@
   cancelTasks(state, job);
   withdrawJob(state, job);
   changeJob(job, 'fail');
-  settleJob(state, job, { outcome: 'failed', ran, reason, retryAfterMs: DEFAULT_RETRY_MS }, now);
+  closeJob(state, job, { outcome: 'failed', ran, reason, retryAfterMs: DEFAULT_RETRY_MS }, now);
 }
 
 /**
- * Refuses a job of which nothing started.
+ * Refuses a job of which no task was started.
  *
  * @param state - the entry's state
  * @param job - the job
- * @param refusal - why, and when to come back
+ * @param refusal - the reason and the retry hint
  * @param now - ms since the epoch
  */
 export function refuseJob(
@@ -69,16 +69,16 @@
 ): void {
   assertInvariant(
     job.tasks.every((task) => task.state === 'queued'),
-    `job ${job.key} would be refused after a start`,
+    `job ${job.key} has started tasks and cannot be refused`,
   );
   withdrawJob(state, job);
   changeJob(job, 'refuse');
-  settleJob(state, job, { outcome: 'refused', ...refusal }, now);
+  closeJob(state, job, { outcome: 'refused', ...refusal }, now);
 }
 
 /**
- * Ends an active job at its deadline: refused when nothing can have started, else failed. Before the refusal
- * the registrar is asked whether the job is still this entry's, because another may have run it meanwhile.
+ * Ends an active job early, for example at its deadline. A running or held job without started tasks is refused
+ * once a lookup confirms that no other entry has taken it over; any other job fails.
  *
  * @param state - the entry's state
  * @param job - the job
@@ -106,13 +106,13 @@
  * @param answer - the owner's answer
  * @param now - ms since the epoch
  */
-export function adoptAnswer(state: EntryState, job: Job, answer: JobAnswer, now: number): void {
+export function endWithAnswer(state: EntryState, job: Job, answer: JobAnswer, now: number): void {
   changeJob(job, answer.outcome === 'complete' ? 'complete' : 'fail');
-  settleJob(state, job, answer, now);
+  closeJob(state, job, answer, now);
 }
 
 /**
- * Sends a job's answer to everyone who waits for it.
+ * Sends a job's answer to all waiting callers and attached entries.
  *
  * @param state - the entry's state
  * @param job - an ended job
@@ -125,7 +125,7 @@
   for (const { peer, id } of job.attached) {
     const absent = answer.outcome === 'refused' || job.unclaimed;
     const attached = { type: 'attached', id, job: job.key } as const;
-    // Nothing ran: the other entry may take the job over.
+    // No task was started, so the other entry may take the job over.
     const message = absent
       ? { ...attached, state: 'absent', answer: '' }
       : { ...attached, state: 'answered', answer: JSON.stringify(answer) };
@@ -134,14 +134,14 @@
   job.attached = [];
 }
 
-function settleJob(state: EntryState, job: Job, answer: JobAnswer, now: number): void {
-  assertInvariant(!isActive(job), `job ${job.key} has an answer and goes on`);
-  dropRequests(state, job);
+function closeJob(state: EntryState, job: Job, answer: JobAnswer, now: number): void {
+  assertInvariant(!isActive(job), `job ${job.key} is still active and cannot record an answer`);
+  clearRequests(state, job);
   state.active.delete(job);
   job.answer = answer;
   job.endedAt = now;
-  // A refused job may come again; of any other only the answer is needed.
-  if (answer.outcome !== 'refused' && !job.unclaimed) forgetTasks(job);
+  // A refused or unclaimed job may be submitted again; of any other job only the answer is needed.
+  if (answer.outcome !== 'refused' && !job.unclaimed) clearTasks(job);
   const bytes =
     answer.outcome === 'complete' ? answer.answers.reduce((sum, one) => sum + one.body.length, 0) : 0;
   state.bytes += bytes - job.bytes;
@@ -152,7 +152,7 @@
   deliverAnswer(state, job);
 }
 
-function forgetTasks(job: Job): void {
+function clearTasks(job: Job): void {
   job.tasks = [];
   job.queued = [];
   job.sweeping.clear();
--- a/src/process/entry/_lib/countOwnSlots.ts
+++ b/src/process/entry/_lib/estimateOwnSlots.ts
@@ -1,12 +1,12 @@
 import type { EntryState } from '../entryState.js';
 
 /**
- * Counts the slots that an entry can expect: its even share, or what it uses now if that is more.
+ * Estimates the slots available to an entry: an even share among the entries, or its current use if higher.
  *
  * @param state - the entry's state
- * @returns slots of the linked agents that are not leaving
+ * @returns number of slots at linked agents that are not leaving
  */
-export function countOwnSlots(state: EntryState): number {
+export function estimateOwnSlots(state: EntryState): number {
   let slots = 0;
   let used = 0;
   for (const agent of state.agents.values()) {
--- a/src/process/entry/_lib/jobChanges.ts
+++ b/src/process/entry/_lib/jobChanges.ts
@@ -1,4 +1,4 @@
-/** Changes of one job that several handlers share. */
+/** Changes of a job that several handlers share. */
 import { assertInvariant } from '../../../_lib/assertInvariant.js';
 import { stepMachine } from '../../../_lib/compileMachine.js';
 import { isEnded, JOB_TABLE } from '../../../request/jobMachine.js';
@@ -8,24 +8,26 @@
 import { TASK_TABLE } from '../../../request/taskMachine.js';
 import type { TaskEvent } from '../../../request/taskMachine.js';
 import type { Decision, EntryState } from '../entryState.js';
-import { addBacklog, noteArrival } from './backlog.js';
+import { addBacklog, recordArrival } from './backlog.js';
 
 /**
- * Moves a job along its machine.
+ * Applies an event to a job's state machine.
  *
  * @param job - the job, which is changed
- * @param event - what happened
+ * @param event - the event
+ * @throws InvariantError when the job's state does not allow the event
  */
 export function changeJob(job: Job, event: JobEvent): void {
   job.state = stepMachine(JOB_TABLE, job.state, event);
 }
 
 /**
- * Moves a task along its machine and keeps the agents' outstanding tasks in step.
+ * Applies an event to a task's state machine and updates the outstanding tasks of its agent.
  *
  * @param state - the entry's state
  * @param task - the task, which is changed
- * @param event - what happened
+ * @param event - the event
+ * @throws InvariantError when the task's state does not allow the event
  */
 export function changeTask(state: EntryState, task: Task, event: TaskEvent): void {
   task.state = stepMachine(TASK_TABLE, task.state, event);
@@ -35,24 +37,24 @@
 }
 
 /**
- * Logs a routing or placement decision.
+ * Logs a decision on a job.
  *
  * @param state - the entry's state
- * @param decision - what was decided
+ * @param decision - event name of the log line
  * @param job - the job's key
- * @param detail - what was chosen and from what
+ * @param detail - fields of the log line
  */
 export function logDecision(state: EntryState, decision: string, job: string, detail: Decision): void {
   state.outbox.push({ type: 'decision', decision, job, detail });
 }
 
 /**
- * Ranks a job and puts it into the ready queue if it has queued tasks.
+ * Recomputes the rank of a running job and adds it to the ready queue if it has queued tasks.
  *
  * @param state - the entry's state
  * @param job - a running job
  */
-export function offerJob(state: EntryState, job: Job): void {
+export function enqueueJob(state: EntryState, job: Job): void {
   if (job.state !== 'running') return;
   job.rank = state.policy.ordering.rankJob(job);
   job.rankVersion += 1;
@@ -61,13 +63,13 @@
 }
 
 /**
- * Begins a claimed job's work, or holds it until its event starts.
+ * Runs a claimed job, or holds it until its event starts.
  *
  * @param state - the entry's state
  * @param job - a job that this entry owns
  * @param now - ms since the epoch
  */
-export function beginJob(state: EntryState, job: Job, now: number): void {
+export function startJob(state: EntryState, job: Job, now: number): void {
   const event = state.config.events.find((known) => known.name === job.event);
   if (event && event.startAt > now) {
     changeJob(job, 'hold');
@@ -78,7 +80,7 @@
 }
 
 /**
- * Lets a job's tasks go.
+ * Queues a job's tasks for placement.
  *
  * @param state - the entry's state
  * @param job - a claimed, held or swept job
@@ -87,14 +89,14 @@
 export function runJob(state: EntryState, job: Job, now: number): void {
   changeJob(job, 'run');
   queueTasks(job);
-  noteArrival(state, job, now);
+  recordArrival(state, job, now);
   state.waitingTasks += job.queued.length;
   addBacklog(state, job, job.remainingMs);
-  offerJob(state, job);
+  enqueueJob(state, job);
 }
 
 /**
- * Takes a running job's work out of the queues, because it ends or has to be claimed again.
+ * Removes a running job's work from the queues and the backlog before the job ends or is claimed again.
  *
  * @param state - the entry's state
  * @param job - the job
@@ -102,32 +104,32 @@
 export function withdrawJob(state: EntryState, job: Job): void {
   if (job.state !== 'running') return;
   state.waitingTasks -= job.queued.length;
-  assertInvariant(state.waitingTasks >= 0, 'fewer than no tasks wait');
+  assertInvariant(state.waitingTasks >= 0, 'the number of waiting tasks is negative');
   job.queued = [];
   job.rankVersion += 1;
   addBacklog(state, job, -job.remainingMs);
 }
 
 /**
- * Takes a finished or lost task's work off the job and the backlog.
+ * Subtracts the work of a finished or lost task from the job and the backlog.
  *
  * @param state - the entry's state
  * @param job - the job
  * @param task - the task
  */
-export function settleWork(state: EntryState, job: Job, task: Task): void {
+export function subtractWork(state: EntryState, job: Job, task: Task): void {
   const before = job.remainingMs;
   job.remainingMs = Math.max(0, before - task.expectedMs);
   if (job.state === 'running') addBacklog(state, job, job.remainingMs - before);
 }
 
 /**
- * Forgets the claim and the attach request that a job waits for.
+ * Drops a job's pending claim and attach request.
  *
  * @param state - the entry's state
  * @param job - the job
  */
-export function dropRequests(state: EntryState, job: Job): void {
+export function clearRequests(state: EntryState, job: Job): void {
   state.claims.delete(job.claimId);
   state.attaches.delete(job.attachId);
   job.claimId = 0;
@@ -135,17 +137,17 @@
 }
 
 /**
- * Tells whether the entry owns a job's claim.
+ * Checks whether the entry owns a job's claim.
  *
  * @param job - the job
- * @returns true when it was granted and not taken over
+ * @returns true when the claim was granted to the entry and not taken over
  */
 export function isOwned(job: Job): boolean {
   return job.epoch.version >= 0 && job.owner === '';
 }
 
 /**
- * Tells whether a job still waits for its outcome.
+ * Checks whether a job has not ended.
  *
  * @param job - the job
  * @returns true until it is complete, failed or refused
--- a/src/process/entry/_lib/sendClaim.ts
+++ b/src/process/entry/_lib/sendClaim.ts
@@ -3,16 +3,16 @@
 import type { Job } from '../../../request/job.js';
 import { findSeat } from '../../../version/findSeat.js';
 import type { EntryState } from '../entryState.js';
-import { dropRequests } from './jobChanges.js';
+import { clearRequests } from './jobChanges.js';
 
 /**
- * Begins to ask the registrar of a job's seat.
+ * Starts a claim at the registrar of a job's seat, and drops pending requests of the job.
  *
  * @param state - the entry's state
  * @param job - the job
- * @param mode - what to ask for
+ * @param mode - kind of claim
  * @param now - ms since the epoch
- * @param expected - takeover only: the epoch to end
+ * @param expected - takeover only: the epoch to replace
  */
 export function startClaim(
   state: EntryState,
@@ -21,7 +21,7 @@
   now: number,
   expected: Epoch = NO_EPOCH,
 ): void {
-  dropRequests(state, job);
+  clearRequests(state, job);
   job.claimMode = mode;
   job.claimSince = now;
   job.claimTries = 0;
@@ -30,7 +30,7 @@
 }
 
 /**
- * Sends a job's claim, or sends it again. Without a lease or a linked registrar it is only scheduled.
+ * Sends or resends a job's claim. Without a lease or a link to the registrar, only schedules the next try.
  *
  * @param state - the entry's state
  * @param job - the job
@@ -39,14 +39,14 @@
 export function sendClaim(state: EntryState, job: Job, now: number): void {
   const wait = Math.min(state.limits.claimRetryMaxMs, state.limits.claimRetryMs * 2 ** job.claimTries);
   job.claimTries += 1;
-  // The first answer may take as long as a loaded registrar needs; a repeat costs little but is not free.
+  // The first reply of a busy registrar may be slow; a longer first wait avoids needless resends.
   job.claimAt = now + Math.max(wait, job.claimTries === 1 ? state.limits.claimRetryMs * 10 : wait);
   if (!hasLease(state, now)) return;
   const registrar = state.config.seats[findSeat(job.key)]?.peer ?? '';
   if (!state.peers.get(registrar)?.connected) return;
-  // A repeated claim is the same request: whichever answer comes first counts. Of lookups only the last one
-  // counts, because a refusal has to be true when it is said.
-  if (job.claimId === 0 || job.claimMode === 'lookup') numberClaim(state, job);
+  // A resent claim keeps its id, so the first reply counts. Each lookup gets a new id, so that only a reply to the
+  // last one counts: a refusal must not rest on an outdated lookup.
+  if (job.claimId === 0 || job.claimMode === 'lookup') assignClaimId(state, job);
   sendAgentSet(state, registrar, job.claimSetId, job.claimTries > 1);
   const { key, createdAt, digest, claimId: id, claimMode: mode, expected } = job;
   const { setId, config } = state;
@@ -65,17 +65,18 @@
 }
 
 /**
- * Tells whether the entry may claim: it heard the log, or a majority of the registrars, a short while ago.
+ * Checks whether the entry may claim: it has recently read the log or received messages from a majority of the
+ * registrars.
  *
  * @param state - the entry's state
  * @param now - ms since the epoch
  * @returns true within the lease
  */
 export function hasLease(state: EntryState, now: number): boolean {
-  return Math.max(state.heardLogAt, state.heardMajorityAt) + state.limits.leaseMs >= now;
+  return Math.max(state.logReadAt, state.majorityReceivedAt) + state.limits.leaseMs >= now;
 }
 
-function numberClaim(state: EntryState, job: Job): void {
+function assignClaimId(state: EntryState, job: Job): void {
   state.claims.delete(job.claimId);
   job.claimId = state.nextId;
   state.nextId += 1;
@@ -84,8 +85,8 @@
 }
 
 function sendAgentSet(state: EntryState, registrar: string, setId: number, again: boolean): void {
-  if (!again && (state.sentSets.get(registrar) ?? -1) >= setId) return;
-  state.sentSets.set(registrar, Math.max(setId, state.sentSets.get(registrar) ?? -1));
-  const members = state.sets.get(setId) ?? [];
+  if (!again && (state.sentSetIds.get(registrar) ?? -1) >= setId) return;
+  state.sentSetIds.set(registrar, Math.max(setId, state.sentSetIds.get(registrar) ?? -1));
+  const members = state.agentSets.get(setId) ?? [];
   state.outbox.push({ type: 'send', to: registrar, message: { type: 'agentSet', setId, members } });
 }
--- a/src/process/entry/applyEntryConfig.ts
+++ b/src/process/entry/applyEntryConfig.ts
@@ -6,8 +6,8 @@
 import type { EntryState } from './entryState.js';
 
 /**
- * Takes a newer configuration into use. Answers of registrars that lost a seat no longer count, and the new
- * holders are told the claims that this entry owns.
+ * Applies a newer configuration. Drops pending claims on seats that changed hands and announces the claims
+ * that this entry owns to the new registrars.
  *
  * @param state - the entry's state
  * @param config - a configuration at the same offset or a later one
@@ -15,7 +15,7 @@
  * @throws InvariantError when the configuration is older than the one in use
  */
 export function applyEntryConfig(state: EntryState, config: ConfigState, now: number): void {
-  assertInvariant(config.offset >= state.config.offset, 'the entry was given an older configuration');
+  assertInvariant(config.offset >= state.config.offset, 'the new configuration is older than the one in use');
   const before = state.config;
   state.config = config;
   for (const [id, job] of state.claims) {
@@ -29,7 +29,7 @@
 }
 
 /**
- * Announces this entry's claims to every registrar that took a seat since it last recorded them.
+ * Announces this entry's claims to every registrar that received a seat since its last recorded announcement.
  *
  * @param state - the entry's state
  * @param now - ms since the epoch
@@ -46,17 +46,17 @@
 }
 
 /**
- * Notes that a registrar recorded an announcement.
+ * Records that a registrar acknowledged an announcement.
  *
  * @param state - the entry's state
- * @param registrar - the registrar
- * @param offset - as of which it was made
+ * @param registrar - `id@incarnation` of the registrar
+ * @param offset - configuration offset of the announcement
  */
-export function noteAnnounced(state: EntryState, registrar: string, offset: number): void {
+export function recordAnnounced(state: EntryState, registrar: string, offset: number): void {
   state.announced.set(registrar, Math.max(offset, state.announced.get(registrar) ?? -1));
 }
 
-/** The newest tenure of each registrar. */
+/** Returns the offset of each registrar's newest tenure. */
 function listTenures(config: ConfigState): Map<string, number> {
   const tenures = new Map<string, number>();
   for (const { peer, sinceOffset } of config.seats) {
@@ -71,19 +71,19 @@
   for (const job of state.jobs.values()) {
     if (!isOwned(job) || state.config.seats[findSeat(job.key)]?.peer !== registrar) continue;
     const { key, createdAt, epoch, digest, setId } = job;
-    // Most jobs may use just the agents of their set, which is named by its number.
-    const members = job.members === state.sets.get(setId) ? [] : job.members;
+    // The members of most jobs equal an agent set, which is sent once and referenced by its id.
+    const members = job.members === state.agentSets.get(setId) ? [] : job.members;
     if (members.length === 0) setIds.add(setId);
     claims.push({ job: key, createdAt, epoch, digest, setId, members });
   }
   for (const setId of setIds) {
-    const message = { type: 'agentSet', setId, members: state.sets.get(setId) ?? [] } as const;
+    const message = { type: 'agentSet', setId, members: state.agentSets.get(setId) ?? [] } as const;
     state.outbox.push({ type: 'send', to: registrar, message });
   }
-  sendParts(state, registrar, claims);
+  sendAnnounceParts(state, registrar, claims);
 }
 
-function sendParts(state: EntryState, registrar: string, claims: readonly OwnedClaim[]): void {
+function sendAnnounceParts(state: EntryState, registrar: string, claims: readonly OwnedClaim[]): void {
   const { offset } = state.config;
   const { claimsPerPart } = state.limits;
   const id = state.nextId;
--- a/src/process/entry/attachJob.ts
+++ b/src/process/entry/attachJob.ts
@@ -1,12 +1,12 @@
 import type { Attach, Attached, Claimed } from '../../connection/messages.js';
 import type { Job, JobAnswer } from '../../request/job.js';
-import { adoptAnswer } from './_lib/endJob.js';
-import { changeJob, dropRequests, logDecision } from './_lib/jobChanges.js';
+import { endWithAnswer } from './_lib/endJob.js';
+import { changeJob, clearRequests, logDecision } from './_lib/jobChanges.js';
 import { startClaim } from './_lib/sendClaim.js';
 import type { EntryState } from './entryState.js';
 
 /**
- * Waits for the answer of the entry that owns a job, or takes the job over when that entry is gone.
+ * Attaches to a job that another entry owns, to receive its answer; takes the job over when the owner is lost.
  *
  * @param state - the entry's state
  * @param job - a job that another entry owns
@@ -19,21 +19,21 @@
   job.expected = claimed.epoch;
   job.members = claimed.members;
   job.ownerLostAt = 0;
-  pursueOwner(state, job, now);
+  contactOwner(state, job, now);
 }
 
 /**
- * Sends an attach request, or begins a takeover once the owner has been out of reach for too long.
+ * Sends an attach request to the owner, or starts a takeover once the owner has been unreachable for too long.
  *
  * @param state - the entry's state
  * @param job - an attached job
  * @param now - ms since the epoch
  */
-export function pursueOwner(state: EntryState, job: Job, now: number): void {
+export function contactOwner(state: EntryState, job: Job, now: number): void {
   const member = state.config.entries.some((entry) => entry.peer === job.owner);
   if (!member) return takeOver(state, job, now, 'owner-removed');
   const owner = state.peers.get(job.owner);
-  if (owner?.connected && now - owner.heardAt < state.limits.silentAfterMs) {
+  if (owner?.connected && now - owner.lastReceivedAt < state.limits.unresponsiveAfterMs) {
     job.ownerLostAt = 0;
     return sendAttach(state, job, now);
   }
@@ -42,17 +42,18 @@
 }
 
 /**
- * Answers another entry that asks for a job: now, when it ends, or never because it is not here.
+ * Replies to an entry that attaches to a job: with its answer, with `waiting` until the job ends, or with
+ * `absent` if this entry does not have the job.
  *
  * @param state - the entry's state
- * @param from - the asking entry
+ * @param from - the attaching entry
  * @param attach - the message
  */
 export function handleAttach(state: EntryState, from: string, attach: Attach): void {
   const { id, job: key } = attach;
   const job = state.jobs.get(key);
-  const reply = (reached: string, answer = ''): void => {
-    const message = { type: 'attached', id, job: key, state: reached, answer } as const;
+  const reply = (attachState: string, answer = ''): void => {
+    const message = { type: 'attached', id, job: key, state: attachState, answer } as const;
     state.outbox.push({ type: 'send', to: from, message });
   };
   if (!job || job.digest !== attach.digest) return reply('absent');
@@ -63,7 +64,7 @@
 }
 
 /**
- * Handles the owner's word on an attached job.
+ * Handles the owner's reply to an attach request.
  *
  * @param state - the entry's state
  * @param from - the owner
@@ -74,9 +75,9 @@
   const job = state.attaches.get(attached.id);
   if (!job || job.attachId !== attached.id || job.state !== 'attached' || job.owner !== from) return;
   if (attached.state === 'waiting') return;
-  dropRequests(state, job);
+  clearRequests(state, job);
   if (attached.state === 'absent') return takeOver(state, job, now, 'owner-refused');
-  adoptAnswer(state, job, JSON.parse(attached.answer) as JobAnswer, now);
+  endWithAnswer(state, job, JSON.parse(attached.answer) as JobAnswer, now);
 }
 
 function sendAttach(state: EntryState, job: Job, now: number): void {
--- a/src/process/entry/entryLinks.ts
+++ b/src/process/entry/entryLinks.ts
@@ -1,14 +1,14 @@
-/** What an entry does when a link comes up or goes down. */
+/** Handlers for links that open and close. */
 import type { Hello } from '../../connection/messages.js';
 import { findProcessId } from '../../connection/findProcessId.js';
-import { loseTask } from './handleResult.js';
+import { failLostTask } from './handleResult.js';
 import { buildStart } from './placeTasks.js';
 import { startClaim } from './_lib/sendClaim.js';
 import type { AgentView, EntryState, PeerView } from './entryState.js';
 
 /**
- * Takes a link into use after the peer's hello. An agent is asked again for every task that it was sent; an
- * earlier incarnation of the same process is given up at once.
+ * Handles a new link after the peer's hello. Resends the start of every outstanding task to an agent, and
+ * removes earlier incarnations of the same process.
  *
  * @param state - the entry's state
  * @param hello - the peer's first message
@@ -19,15 +19,15 @@
 export function openPeerLink(state: EntryState, hello: Hello, now: number): void {
   const { peer } = hello;
   dropEarlierIncarnations(state, peer, now);
-  const view: PeerView = { peer, connected: true, downSince: 0, heardAt: now };
+  const view: PeerView = { peer, connected: true, downSince: 0, lastReceivedAt: now };
   state.peers.set(peer, view);
-  state.sentSets.delete(peer);
+  state.sentSetIds.delete(peer);
   state.announcedAt.delete(peer);
   if (hello.role === 'agent') openAgentLink(state, hello, now);
 }
 
 /**
- * Notes that a link is down. The peer keeps its tasks until it is lost for good.
+ * Handles the loss of a link. The peer's outstanding tasks are kept until the peer counts as lost.
  *
  * @param state - the entry's state
  * @param peer - `id@incarnation`
@@ -46,32 +46,32 @@
 }
 
 /**
- * Gives an agent incarnation up: whatever it was sent and did not answer may have run.
+ * Removes an agent incarnation and fails the jobs of its outstanding tasks, since these may have run.
  *
  * @param state - the entry's state
  * @param peer - `id@incarnation`
  * @param reason - why it is lost
  * @param now - ms since the epoch
  */
-export function loseAgent(state: EntryState, peer: string, reason: string, now: number): void {
+export function removeLostAgent(state: EntryState, peer: string, reason: string, now: number): void {
   const agent = state.agents.get(peer);
   if (!agent) return;
   agent.connected = false;
   for (const task of [...agent.outstanding]) {
     const job = state.jobs.get(task.job);
-    if (job && task.state === 'sent') loseTask(state, job, task, reason, now);
+    if (job && task.state === 'sent') failLostTask(state, job, task, reason, now);
   }
   state.agents.delete(peer);
   state.acks.delete(peer);
 }
 
 /**
- * Stops sending to a peer that leaves.
+ * Marks an agent as leaving, so that no more tasks are sent to it.
  *
  * @param state - the entry's state
  * @param peer - `id@incarnation`
  */
-export function notePeerLeaving(state: EntryState, peer: string): void {
+export function markPeerLeaving(state: EntryState, peer: string): void {
   const agent = state.agents.get(peer);
   if (agent) agent.leaving = true;
 }
@@ -85,19 +85,19 @@
     leaving,
     granted: 0,
     used: 0,
-    toldWaiting: 0,
-    toldHeadRank: 0,
+    reportedWaiting: 0,
+    reportedHeadRank: 0,
   };
   if (known) {
     Object.assign(known, fresh, { leaving: known.leaving || leaving });
-    askAgain(state, known, now);
+    resendStarts(state, known, now);
     return;
   }
   state.agents.set(peer, { peer, failureDomain, slots, ...fresh, outstanding: new Set(), slowness: 1 });
-  renewAgentSet(state, now);
+  createAgentSet(state, now);
 }
 
-function askAgain(state: EntryState, agent: AgentView, now: number): void {
+function resendStarts(state: EntryState, agent: AgentView, now: number): void {
   for (const task of agent.outstanding) {
     const job = state.jobs.get(task.job);
     if (!job) continue;
@@ -106,10 +106,10 @@
   }
 }
 
-/** A new agent makes a new set; running jobs with waiting tasks are widened to it. */
-function renewAgentSet(state: EntryState, now: number): void {
+/** Creates the agent set for a new agent, and widens the claims of held jobs and jobs with waiting tasks to it. */
+function createAgentSet(state: EntryState, now: number): void {
   state.setId += 1;
-  state.sets.set(state.setId, [...state.agents.keys()]);
+  state.agentSets.set(state.setId, [...state.agents.keys()]);
   for (const job of state.active) {
     const open = job.state === 'running' || job.state === 'held';
     if (!open || job.claimId !== 0) continue;
@@ -123,6 +123,6 @@
   for (const other of [...state.peers.keys()]) {
     if (other === peer || findProcessId(other) !== id) continue;
     state.peers.delete(other);
-    loseAgent(state, other, 'agent-replaced', now);
+    removeLostAgent(state, other, 'agent-replaced', now);
   }
 }
--- a/src/process/entry/entryState.ts
+++ b/src/process/entry/entryState.ts
@@ -1,4 +1,4 @@
-/** What an entry knows: the jobs it coordinates, the agents it may use, its policy. */
+/** State of an entry: the jobs it coordinates, the agents it may use and its policy. */
 import TinyQueue from 'tinyqueue';
 
 import type { Message } from '../../connection/messages.js';
@@ -8,47 +8,47 @@
 import type { Placement } from '../../request/placement.js';
 import type { ConfigState } from '../../version/configState.js';
 
-/** Bounds and times of an entry. All times in ms. */
+/** Limits and timeouts of an entry. All times in ms. */
 export interface EntryLimits {
-  /** Oldest key that is taken, by its creation. */
+  /** Oldest accepted job key, by its creation time. */
   readonly horizonMs: number;
-  /** Largest difference between two clocks. */
+  /** Largest assumed difference between two clocks. */
   readonly skewMs: number;
-  /** How long the entry claims on without hearing the log or a majority of the registrars. */
+  /** How long the entry may claim after it last read the log or heard from a majority of the registrars. */
   readonly leaseMs: number;
-  /** Longest wait for a claim; past it the job fails as unknown. */
+  /** Longest wait for a claim; past it the job fails. */
   readonly claimTimeoutMs: number;
-  /** First wait before a claim is sent again; doubled up to `claimRetryMaxMs`. */
+  /** First wait before a claim is resent; doubled up to `claimRetryMaxMs`. */
   readonly claimRetryMs: number;
   readonly claimRetryMaxMs: number;
-  /** How long a linked entry may be silent before it counts as out of reach; heartbeats come far more often. */
-  readonly silentAfterMs: number;
-  /** How long an owner is out of reach before its job is taken over. */
+  /** How long a linked entry may send nothing before it counts as unreachable; longer than the heartbeat interval. */
+  readonly unresponsiveAfterMs: number;
+  /** How long an owner is unreachable before its job is taken over. */
   readonly takeoverAfterMs: number;
-  /** Wait before an unrecorded announcement is sent again. */
+  /** Wait before an unacknowledged announcement is resent. */
   readonly announceRepeatMs: number;
-  /** Claims in one message of an announcement. */
+  /** Number of claims in one part of an announcement. */
   readonly claimsPerPart: number;
-  /** Wait before an unanswered attach or sweep is sent again. */
+  /** Wait before an unanswered attach request is resent; a sweep is resent after a quarter of it. */
   readonly repeatMs: number;
   /** How long a sweep waits for an agent. */
   readonly sweepTimeoutMs: number;
-  /** How long an agent's link may be down before its tasks are unknown. */
+  /** How long an agent's link may be down before the agent is removed and its tasks count as lost. */
   readonly agentLostMs: number;
-  /** Wait, on top of the expected duration, before an agent is asked again for a task. */
+  /** Wait, in addition to the expected duration, before the start of an unanswered task is resent. */
   readonly askAgainMs: number;
-  /** Most jobs that have not ended. */
+  /** Largest number of admitted active jobs. */
   readonly maxActiveJobs: number;
-  /** Most bytes of bodies and answers; past it the oldest answers are dropped, then jobs refused. */
+  /** Largest size of held bodies and answers. Past half of it the oldest answers are dropped; at it, new jobs fail. */
   readonly maxBytes: number;
-  /** How much more urgent, in ms of rank, a waiting task must be for the agents to be told. */
+  /** How far the rank of the first waiting task must fall, in ms, before the demand is reported again. */
   readonly demandStepMs: number;
-  /** Refused starts that a job may send again, as a share of its tasks, plus `retryFloor`. */
+  /** Retry budget of a job for refused starts: this many per task, plus `retryFloor`. */
   readonly retryShare: number;
   readonly retryFloor: number;
 }
 
-/** Limits that the daemons start with. */
+/** Default limits. */
 export const DEFAULT_ENTRY_LIMITS: EntryLimits = {
   horizonMs: 110_000,
   skewMs: 1_000,
@@ -56,7 +56,7 @@
   claimTimeoutMs: 6_000,
   claimRetryMs: 20,
   claimRetryMaxMs: 500,
-  silentAfterMs: 2_500,
+  unresponsiveAfterMs: 2_500,
   takeoverAfterMs: 1_500,
   announceRepeatMs: 100,
   claimsPerPart: 500,
@@ -80,54 +80,55 @@
   /** When its link went down, ms since the epoch. */
   downSince: number;
   leaving: boolean;
-  /** Credits granted and used on the present link. */
+  /** Credits granted on the current link. */
   granted: number;
+  /** Credits used on the current link. */
   used: number;
-  /** What the agent was last told of the waiting tasks. */
-  toldWaiting: number;
-  /** Rank of the first of them that it was told. */
-  toldHeadRank: number;
+  /** Number of waiting tasks last reported to the agent. */
+  reportedWaiting: number;
+  /** Rank of the first waiting task last reported to the agent. */
+  reportedHeadRank: number;
   /** Tasks sent to it that have not ended. */
   readonly outstanding: Set<Task>;
-  /** Moving mean of measured over expected duration. */
+  /** Moving average of the ratio of actual to expected duration. */
   slowness: number;
 }
 
-/** Another process as an entry sees it. */
+/** A linked process as an entry sees it. */
 export interface PeerView {
   readonly peer: string;
   connected: boolean;
   downSince: number;
-  /** When a message of it last arrived, ms since the epoch. */
-  heardAt: number;
+  /** When the last message arrived, ms since the epoch. */
+  lastReceivedAt: number;
 }
 
-/** The policy of an entry. */
+/** Strategies of an entry for ordering, placement and admission. */
 export interface EntryPolicy {
   readonly ordering: Ordering;
   readonly placement: Placement;
   readonly admission: Admission;
 }
 
-/** Moving mean of a kind's measured duration. */
+/** Moving average of a kind's task duration. */
 export interface KindStats {
   meanMs: number;
   samples: number;
 }
 
-/** What the entry's loop has to carry out. */
+/** An action for the caller of the state machine to apply. */
 export type EntryEffect =
   | { readonly type: 'send'; readonly to: string; readonly message: Message }
-  /** Answer one caller. */
+  /** Sends the answer to one caller. */
   | { readonly type: 'answer'; readonly caller: string; readonly job: string; readonly answer: JobAnswer }
-  /** Link to an agent that a sweep needs. */
+  /** Opens a link to an agent that must be swept. */
   | { readonly type: 'dial'; readonly peer: string }
   | { readonly type: 'decision'; readonly decision: string; readonly job: string; readonly detail: Decision };
 
-/** Fields of a decision's log line. */
+/** Log fields of a decision. */
 export type Decision = Readonly<Record<string, string | number>>;
 
-/** Item of the ready queue: a job with queued tasks at a rank. */
+/** Item of the ready queue: a job with queued tasks, at its rank when it was enqueued. */
 export interface ReadyItem {
   readonly rank: number;
   readonly job: Job;
@@ -142,27 +143,28 @@
   readonly nextRandom: () => number;
   config: ConfigState;
   /** When the log was last read, ms since the epoch. */
-  heardLogAt: number;
-  /** When a majority of the registrars was last heard at the present offset. */
-  heardMajorityAt: number;
+  logReadAt: number;
+  /** Latest time at or after which a majority of the registrars sent a message, ms since the epoch. */
+  majorityReceivedAt: number;
   readonly agents: Map<string, AgentView>;
   readonly peers: Map<string, PeerView>;
-  /** Agent sets by number; the newest is the one that new claims use. */
-  readonly sets: Map<number, readonly string[]>;
+  /** Agent sets by id. */
+  readonly agentSets: Map<number, readonly string[]>;
+  /** Id of the newest agent set, which new claims use. */
   setId: number;
-  /** The newest set that each registrar was sent. */
-  readonly sentSets: Map<string, number>;
-  /** Offset up to which each registrar has recorded this entry's announcements. */
+  /** Id of the newest agent set sent to each registrar. */
+  readonly sentSetIds: Map<string, number>;
+  /** Offset of the newest announcement that each registrar has acknowledged. */
   readonly announced: Map<string, number>;
-  /** When each registrar was last sent an announcement. */
+  /** When an announcement was last sent to each registrar, ms since the epoch. */
   readonly announcedAt: Map<string, number>;
   readonly jobs: Map<string, Job>;
   /** Jobs that have not ended. */
   readonly active: Set<Job>;
-  /** Ended jobs whose answers are held, oldest first. */
+  /** Ended jobs that are kept to answer repeated submissions, oldest first. */
   readonly answered: Job[];
   readonly ready: TinyQueue<ReadyItem>;
-  /** Jobs by the id of their claim in flight. */
+  /** Jobs by the id of their pending claim. */
   readonly claims: Map<number, Job>;
   /** Jobs by the id of their attach request. */
   readonly attaches: Map<number, Job>;
@@ -170,34 +172,35 @@
   readonly kinds: Map<string, KindStats>;
   /** Queued tasks of running jobs. */
   waitingTasks: number;
-  /** Expected work not yet finished, ms, by priority and size class (see `findBacklogClass`). */
+  /** Expected unfinished work, ms, by priority and size class (see `computeBacklogClass`). */
   readonly backlog: Map<number, number>;
-  /** Work let in since tasks began to wait, in the same classes. */
+  /** Work that arrived since tasks began to wait, in the same classes. */
   readonly arrivals: Map<number, number>;
-  /** Since when tasks have waited without a break, ms since the epoch. */
+  /** Time since which tasks have been waiting without interruption, ms since the epoch. */
   busySince: number;
-  /** The backlog by caller and team, as `caller/NAME` and `team/NAME`. */
+  /** Backlog by caller and team, ms, under `caller/NAME` and `team/NAME`. */
   readonly shares: Map<string, number>;
+  /** Size of all held bodies and answers. */
   bytes: number;
-  /** Answers held here that the agents have not been told of: indexes by agent and job. */
+  /** Unsent acknowledgements: task indexes by agent and job. */
   readonly acks: Map<string, Map<string, number[]>>;
-  /** When acknowledgements were last sent to all, ms since the epoch. */
+  /** When acknowledgements were last sent to all agents, ms since the epoch. */
   ackedAt: number;
-  /** When the waiting jobs were last judged again, ms since the epoch. */
+  /** When the waiting jobs were last re-evaluated, ms since the epoch. */
   shedAt: number;
-  /** Which agent is next to be told of waiting tasks. */
+  /** Index of the agent at which the next report of demand starts. */
   demandCursor: number;
   leaving: boolean;
-  /** Starts and demands of this turn, completed with the entry's demand when the turn ends. */
+  /** Effects of the current turn. The demand is filled into starts when the turn ends. */
   outbox: EntryEffect[];
 }
 
 /**
- * Creates the state of an entry that knows no agent and no job.
+ * Creates the state of an entry without agents and jobs.
  *
  * @param peer - `id@incarnation` of the process
- * @param limits - its bounds
- * @param options - its policy, configuration and random numbers
+ * @param limits - its limits
+ * @param options - its policy, configuration and random number generator
  * @returns the state
  */
 export function createEntryState(
@@ -211,13 +214,13 @@
     policy: options.policy,
     nextRandom: options.nextRandom,
     config: options.config,
-    heardLogAt: Number.NEGATIVE_INFINITY,
-    heardMajorityAt: Number.NEGATIVE_INFINITY,
+    logReadAt: Number.NEGATIVE_INFINITY,
+    majorityReceivedAt: Number.NEGATIVE_INFINITY,
     agents: new Map(),
     peers: new Map(),
-    sets: new Map([[0, []]]),
+    agentSets: new Map([[0, []]]),
     setId: 0,
-    sentSets: new Map(),
+    sentSetIds: new Map(),
     announced: new Map(),
     announcedAt: new Map(),
     jobs: new Map(),
--- a/src/process/entry/handleResult.ts
+++ b/src/process/entry/handleResult.ts
@@ -4,16 +4,16 @@
 import type { Job, Task } from '../../request/job.js';
 import { addAck } from './_lib/acks.js';
 import { completeJob, expireJob, failJob } from './_lib/endJob.js';
-import { changeTask, logDecision, offerJob, settleWork } from './_lib/jobChanges.js';
+import { changeTask, logDecision, enqueueJob, subtractWork } from './_lib/jobChanges.js';
 import type { AgentView, EntryState } from './entryState.js';
 import { supersedeJob } from './supersedeJob.js';
 
-/** Weight of a new sample in the moving means. */
+/** Weight of a new sample in the moving averages. */
 const SAMPLE_WEIGHT = 0.05;
 
 /**
- * Handles what an agent says of one task. Only the agent incarnation that the task was sent to is believed,
- * and only for the attempt that was sent.
+ * Handles the result of one task. It is accepted only from the agent incarnation the task was sent to, and
+ * only for the attempt that was sent.
  *
  * @param state - the entry's state
  * @param from - the agent
@@ -28,7 +28,7 @@
   const job = state.jobs.get(result.job);
   const task = job?.tasks[result.index];
   if (!job || !task || isEnded(job.state)) {
-    // Nobody will use the answer any more: the agent need not hold it.
+    // The answer is not needed any more, so the agent may drop it.
     if (result.state === 'finished') addAck(state, from, result.job, result.index);
     return;
   }
@@ -37,7 +37,7 @@
   if (task.state !== 'sent' || task.agent !== from || task.attempt !== result.attempt) return;
   if (result.state === 'finished') return finishTask(state, job, task, result, now);
   if (result.state === 'refused') return requeueTask(state, job, task, result, now);
-  if (result.state === 'unknown') return loseTask(state, job, task, result.reason, now);
+  if (result.state === 'unknown') return failLostTask(state, job, task, result.reason, now);
   task.askAt = now + state.limits.askAgainMs;
 }
 
@@ -50,10 +50,10 @@
  * @param reason - why its answer is lost
  * @param now - ms since the epoch
  */
-export function loseTask(state: EntryState, job: Job, task: Task, reason: string, now: number): void {
+export function failLostTask(state: EntryState, job: Job, task: Task, reason: string, now: number): void {
   changeTask(state, task, 'lose');
   if (job.state === 'sweeping') return;
-  settleWork(state, job, task);
+  subtractWork(state, job, task);
   failJob(state, job, reason || 'answer-lost', now);
 }
 
@@ -70,14 +70,14 @@
   job.finished += 1;
   state.bytes += result.body.length;
   job.bytes += result.body.length;
-  settleWork(state, job, task);
-  learnDuration(state, job, task, result.workMs, state.agents.get(task.agent));
+  subtractWork(state, job, task);
+  recordDuration(state, job, task, result.workMs, state.agents.get(task.agent));
   if (job.state === 'sweeping') return;
   if (job.finished === job.tasks.length) return completeJob(state, job, now);
-  if (job.queued.length > 0) offerJob(state, job);
+  if (job.queued.length > 0) enqueueJob(state, job);
 }
 
-/** The agent says that the attempt did not start: the task waits again, within the job's retry budget. */
+/** Requeues a task whose attempt did not start, or ends the job once its retry budget is used up. */
 function requeueTask(state: EntryState, job: Job, task: Task, result: Result, now: number): void {
   changeTask(state, task, 'refuse');
   task.attempt += 1;
@@ -89,10 +89,10 @@
   state.waitingTasks += 1;
   const budget = job.tasks.length * state.limits.retryShare + state.limits.retryFloor;
   if (result.reason === 'late' || job.retries > budget) return expireJob(state, job, result.reason, now);
-  offerJob(state, job);
+  enqueueJob(state, job);
 }
 
-function learnDuration(
+function recordDuration(
   state: EntryState,
   job: Job,
   task: Task,
--- a/src/process/entry/placeTasks.ts
+++ b/src/process/entry/placeTasks.ts
@@ -6,11 +6,11 @@
 import { changeTask, logDecision } from './_lib/jobChanges.js';
 import type { AgentView, EntryState, ReadyItem } from './entryState.js';
 
-/** How much longer than expected, as a factor, a task may take before its agent is asked again. */
-const ASK_AGAIN_FACTOR = 4;
+/** Factor of the expected duration that is added to the wait before a start is resent. */
+const RESEND_FACTOR = 4;
 
 /**
- * Sends queued tasks, lowest rank first, while agents have credits.
+ * Sends queued tasks to agents, lowest rank first, until no agent has a credit left.
  *
  * @param state - the entry's state; its outbox receives the starts
  * @param now - ms since the epoch
@@ -30,12 +30,12 @@
     }
     const chosen = chooseAgent(state, job, candidates);
     if (!chosen) {
-      // Its claim does not cover any agent with a credit; another job may use them.
+      // The job's claim covers none of the candidates; another job may use them.
       skipped.push(item);
       state.ready.pop();
       continue;
     }
-    placeHead(state, job, chosen, candidates, now);
+    placeNextTask(state, job, chosen, candidates, now);
   }
   for (const item of skipped) state.ready.push(item);
 }
@@ -45,9 +45,9 @@
  *
  * @param job - the task's job
  * @param task - the task
- * @param used - credits used on the link, this start included
- * @param again - true when the task was sent to the same agent before
- * @returns the start; the entry's demand is filled in when the turn ends
+ * @param used - credits used on the link, including this start
+ * @param again - true when the start is a resend to the same agent
+ * @returns the start; the demand is filled in when the turn ends
  */
 export function buildStart(job: Job, task: Task, used: number, again: boolean): Start {
   const { key, createdAt, epoch, deadline, rank } = job;
@@ -68,7 +68,7 @@
   for (const view of state.agents.values()) {
     if (!view.connected || view.leaving || view.slots === 0) continue;
     if (state.config.emptiedDomains.includes(view.failureDomain)) continue;
-    // An ejected agent is probed with one task at a time.
+    // An agent ejected for slowness is probed with one task at a time.
     if (view.slowness > EJECT_SLOWNESS && view.outstanding.size > 0) continue;
     const credits = view.granted - view.used;
     if (needsCredit && credits <= 0) continue;
@@ -84,7 +84,7 @@
   return state.policy.placement.chooseAgent(covered) as Candidate | undefined;
 }
 
-function placeHead(
+function placeNextTask(
   state: EntryState,
   job: Job,
   chosen: Candidate,
@@ -93,15 +93,15 @@
 ): void {
   const task = job.tasks[job.queued.pop() as number] as Task;
   const { view } = chosen;
-  assertInvariant(!view.leaving, `task ${job.key}/${task.index} would go to a leaving agent`);
+  assertInvariant(!view.leaving, `task ${job.key}/${task.index} cannot be sent to a leaving agent`);
   assertInvariant(
     job.members.includes(view.peer),
-    `agent ${view.peer} is not covered by the claim of ${job.key}`,
+    `agent ${view.peer} is not covered by the claim of job ${job.key}`,
   );
   state.waitingTasks -= 1;
   task.agent = view.peer;
   task.sentAt = now;
-  task.askAt = now + state.limits.askAgainMs + task.expectedMs * ASK_AGAIN_FACTOR;
+  task.askAt = now + state.limits.askAgainMs + task.expectedMs * RESEND_FACTOR;
   changeTask(state, task, 'send');
   view.used += 1;
   const message = buildStart(job, task, view.used, false);
--- a/src/process/entry/shedJobs.ts
+++ b/src/process/entry/shedJobs.ts
@@ -1,28 +1,28 @@
 import type { Job } from '../../request/job.js';
-import { countOwnSlots } from './_lib/countOwnSlots.js';
+import { estimateOwnSlots } from './_lib/estimateOwnSlots.js';
 import { expireJob } from './_lib/endJob.js';
 import { isOwned } from './_lib/jobChanges.js';
 import type { EntryState } from './entryState.js';
 
-/** Between two judgements of the waiting jobs, ms. */
-const SHED_EVERY_MS = 200;
+/** Interval between evaluations of the waiting jobs, ms. */
+const SHED_INTERVAL_MS = 200;
 
 /**
- * Judges the waiting jobs again, because more urgent ones came after them: a job that will be late and of which
- * nothing was started is refused now, and not at its deadline.
+ * Sheds waiting jobs that are now predicted to miss their deadline because more urgent jobs arrived later. Only
+ * jobs without a started task are refused.
  *
  * @param state - the entry's state
  * @param now - ms since the epoch
  */
 export function shedJobs(state: EntryState, now: number): void {
-  if (now - state.shedAt < SHED_EVERY_MS || state.waitingTasks === 0) return;
+  if (now - state.shedAt < SHED_INTERVAL_MS || state.waitingTasks === 0) return;
   state.shedAt = now;
-  const slots = countOwnSlots(state);
-  const running = [...state.active].filter((job) => job.state === 'running');
-  running.sort((left, right) => left.rank - right.rank);
+  const slots = estimateOwnSlots(state);
+  const runningJobs = [...state.active].filter((job) => job.state === 'running');
+  runningJobs.sort((left, right) => left.rank - right.rank);
   let aheadMs = 0;
-  for (const job of running) {
-    if (!isUntouched(job) || !isLate(state, job, aheadMs, slots, now)) {
+  for (const job of runningJobs) {
+    if (!isUnstarted(job) || !isLate(state, job, aheadMs, slots, now)) {
       aheadMs += job.remainingMs;
       continue;
     }
@@ -30,7 +30,7 @@
   }
 }
 
-function isUntouched(job: Job): boolean {
+function isUnstarted(job: Job): boolean {
   return isOwned(job) && job.queued.length === job.taskCount;
 }
 
@@ -42,7 +42,7 @@
     aheadMs,
     slots,
     random: 0,
-    // Only the time counts here: the job was let in.
+    // The job was admitted already: only lateness is checked, not the limits on jobs and shares.
     activeJobs: 0,
     totalMs: 0,
     callerMs: 0,
--- a/src/process/entry/supersedeJob.ts
+++ b/src/process/entry/supersedeJob.ts
@@ -3,15 +3,15 @@
 import { startClaim } from './_lib/sendClaim.js';
 import type { EntryState } from './entryState.js';
 
-/** Owner of a job that was taken over, until the registrar names it. */
+/** Placeholder for the owner of a job that was taken over, until the registrar reports the owner. */
 const OWNER_UNKNOWN = '?';
 
 /**
- * Gives a job up to the entry that took it over, and looks for that entry so that the callers here get its
- * answer.
+ * Stops work on a job that another entry took over, and looks up that entry to forward its answer to the
+ * callers here.
  *
  * @param state - the entry's state
- * @param job - a job whose epoch an agent or the registrar refused
+ * @param job - a job whose epoch an agent or the registrar rejected
  * @param now - ms since the epoch
  */
 export function supersedeJob(state: EntryState, job: Job, now: number): void {
--- a/src/process/entry/sweepJob.ts
+++ b/src/process/entry/sweepJob.ts
@@ -3,16 +3,17 @@
 import { findProcessId } from '../../connection/findProcessId.js';
 import type { Job, Task } from '../../request/job.js';
 import { completeJob, failJob } from './_lib/endJob.js';
-import { beginJob, changeJob, changeTask, logDecision } from './_lib/jobChanges.js';
+import { startJob, changeJob, changeTask, logDecision } from './_lib/jobChanges.js';
 import type { EntryState } from './entryState.js';
 import { supersedeJob } from './supersedeJob.js';
 
 /**
- * Asks every agent that earlier owners of a job may have used what it started, and fences the job there.
+ * Starts a sweep: fences a job at every agent that earlier owners may have used, and requests the state of its
+ * tasks from them.
  *
  * @param state - the entry's state
  * @param job - a job that was just taken over
- * @param members - the agent incarnations to ask
+ * @param members - the agent incarnations to sweep
  * @param now - ms since the epoch
  */
 export function startSweep(state: EntryState, job: Job, members: readonly string[], now: number): void {
@@ -27,7 +28,7 @@
 }
 
 /**
- * Sends the sweep to the members that have not answered, and gives up those that cannot.
+ * Sends the sweep to the members that have not answered. Members that were replaced or timed out count as lost.
  *
  * @param state - the entry's state
  * @param job - a sweeping job
@@ -50,7 +51,7 @@
 }
 
 /**
- * Takes over what one agent knows of a job.
+ * Handles an agent's reply to a sweep: applies the task states that it reports.
  *
  * @param state - the entry's state
  * @param from - the agent
@@ -64,13 +65,20 @@
   if (swept.fenced) return supersedeJob(state, job, now);
   for (const one of swept.tasks) {
     const task = job.tasks[one.index];
-    if (task) adoptTask(state, job, task, from, one, now);
+    if (task) applySweptTask(state, job, task, from, one, now);
   }
   job.sweeping.delete(from);
   if (job.sweeping.size === 0) finishSweep(state, job, now);
 }
 
-function adoptTask(state: EntryState, job: Job, task: Task, from: string, one: SweptTask, now: number): void {
+function applySweptTask(
+  state: EntryState,
+  job: Job,
+  task: Task,
+  from: string,
+  one: SweptTask,
+  now: number,
+): void {
   if (one.state === 'refused') {
     task.attempt = Math.max(task.attempt, one.attempt + 1);
     return;
@@ -91,7 +99,7 @@
   if (one.state === 'finished' || one.state === 'unknown') changeTask(state, task, 'lose');
 }
 
-/** Everything that can be known is known: goes on with the rest, or fails when a start cannot be ruled out. */
+/** Runs the remaining tasks after a sweep, or fails the job when one of them may have been started already. */
 function finishSweep(state: EntryState, job: Job, now: number): void {
   const queued = job.tasks.filter((task) => task.state === 'queued').length;
   const detail = { found: job.tasks.length - queued, queued, lost: job.lostMembers.length };
@@ -99,10 +107,10 @@
   if (job.tasks.some((task) => task.state === 'unknown')) return failJob(state, job, 'answer-lost', now);
   if (queued > 0 && job.lostMembers.length > 0) return failJob(state, job, 'agent-lost', now);
   if (job.finished === job.tasks.length) return completeJob(state, job, now);
-  beginJob(state, job, now);
+  startJob(state, job, now);
 }
 
-/** A member whose process runs again under another incarnation can never answer. */
+/** Checks whether a member's process runs under another incarnation, so that the member cannot answer. */
 function isReplaced(state: EntryState, member: string): boolean {
   const id = findProcessId(member);
   for (const agent of state.agents.values()) {
--- a/src/process/entry/tickEntry.ts
+++ b/src/process/entry/tickEntry.ts
@@ -4,19 +4,19 @@
 import { runJob } from './_lib/jobChanges.js';
 import { sendClaim } from './_lib/sendClaim.js';
 import { announceClaims } from './applyEntryConfig.js';
-import { pursueOwner } from './attachJob.js';
-import { loseAgent } from './entryLinks.js';
+import { contactOwner } from './attachJob.js';
+import { removeLostAgent } from './entryLinks.js';
 import type { AgentView, EntryState } from './entryState.js';
 import { buildStart } from './placeTasks.js';
 import { shedJobs } from './shedJobs.js';
 import { repeatSweep } from './sweepJob.js';
 
-/** How long past the horizon an ended job is kept, in ms. */
+/** How long an ended job is kept beyond the horizon, ms. */
 const KEEP_MARGIN_MS = 5_000;
 
 /**
- * Does what time brings: repeats requests that were not answered, takes jobs of lost owners over, gives lost
- * agents up, lets held jobs go, ends jobs at their deadlines and forgets old ones.
+ * Runs the periodic work: resends unanswered requests, takes over the jobs of lost owners, removes lost agents,
+ * releases held jobs, ends jobs at their deadlines and removes old jobs.
  *
  * @param state - the entry's state
  * @param now - ms since the epoch
@@ -33,12 +33,12 @@
 }
 
 /**
- * Lets held jobs go whose event has started.
+ * Runs the held jobs whose event has started.
  *
  * @param state - the entry's state
  * @param now - ms since the epoch
  */
-export function releaseHeld(state: EntryState, now: number): void {
+export function releaseHeldJobs(state: EntryState, now: number): void {
   const started = new Set(
     state.config.events.filter((event) => event.startAt <= now).map((event) => event.name),
   );
@@ -49,15 +49,16 @@
 
 function tickAgent(state: EntryState, agent: AgentView, now: number): void {
   if (!agent.connected) {
-    if (now - agent.downSince >= state.limits.agentLostMs) loseAgent(state, agent.peer, 'agent-lost', now);
+    if (now - agent.downSince >= state.limits.agentLostMs)
+      removeLostAgent(state, agent.peer, 'agent-lost', now);
     return;
   }
   for (const task of agent.outstanding) {
-    if (task.askAt <= now) askForTask(state, agent, task, now);
+    if (task.askAt <= now) resendStart(state, agent, task, now);
   }
 }
 
-function askForTask(state: EntryState, agent: AgentView, task: Task, now: number): void {
+function resendStart(state: EntryState, agent: AgentView, task: Task, now: number): void {
   const job = state.jobs.get(task.job);
   if (!job) return;
   task.askAt = now + state.limits.askAgainMs;
@@ -65,11 +66,11 @@
 }
 
 function tickJob(state: EntryState, job: Job, now: number): void {
-  // A refusal that waits for its proof is bounded by the claim's own time.
+  // A refusal that waits for its lookup ends at the claim timeout, not at the deadline.
   if (job.state === 'claiming' && job.refusal) return tickClaim(state, job, now);
   if (job.deadline <= now) return expireJob(state, job, 'deadline', now);
   if (job.state === 'claiming') return tickClaim(state, job, now);
-  if (job.state === 'attached' && job.claimAt <= now) return pursueOwner(state, job, now);
+  if (job.state === 'attached' && job.claimAt <= now) return contactOwner(state, job, now);
   if (job.state === 'sweeping' && job.sweepAt <= now) return repeatSweep(state, job, now);
   if (job.state === 'held') return tickHeld(state, job, now);
   if (job.claimId !== 0 && job.claimAt <= now) sendClaim(state, job, now);
@@ -87,7 +88,7 @@
   if (event.startAt <= now) runJob(state, job, now);
 }
 
-/** Forgets ended jobs past the horizon, and drops the oldest answers while too many bytes are held. */
+/** Removes ended jobs past the horizon, and drops the oldest answers while too many bytes are held. */
 function expireAnswers(state: EntryState, now: number): void {
   const keepMs = state.limits.horizonMs + 2 * state.limits.skewMs + KEEP_MARGIN_MS;
   while (state.answered[0] && state.answered[0].createdAt + keepMs <= now) {
@@ -95,10 +96,10 @@
     state.bytes -= job.bytes;
     if (state.jobs.get(job.key) === job) state.jobs.delete(job.key);
   }
-  let place = 0;
-  while (state.bytes > state.limits.maxBytes / 2 && place < state.answered.length) {
-    dropAnswer(state, state.answered[place] as Job);
-    place += 1;
+  let index = 0;
+  while (state.bytes > state.limits.maxBytes / 2 && index < state.answered.length) {
+    dropAnswer(state, state.answered[index] as Job);
+    index += 1;
   }
 }
 
