--- a/bench/defects.ts
+++ b/bench/defects.ts
@@ -88,7 +88,7 @@
   {
     name: 'a new registrar forgets the claims of entries that are gone',
     file: 'src/process/registrar/handleClaim.js',
-    find: 'if (claim.createdAt < findKnownFrom(state, tenure))',
+    find: 'if (claim.createdAt < findHistoryStart(state, tenure))',
     replace: 'if (false)',
   },
   {
--- a/src/process/agent/AgentDaemon.ts
+++ b/src/process/agent/AgentDaemon.ts
@@ -1,4 +1,4 @@
-/** The agent as a daemon: an `AgentNode` with links, an upstream and the platform. */
+/** The agent process: connects an `AgentNode` to peer links, an upstream and the platform. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import type { Hello, Message } from '../../connection/messages.js';
@@ -12,10 +12,10 @@
 import type { AgentNodeEffect } from './AgentNode.js';
 import type { AgentTask } from './agentState.js';
 
-/** Between two probes of an upstream that refuses connections, ms. */
-const PROBE_MS = 500;
+/** Interval between probes of an upstream that refuses connections, ms. */
+const PROBE_INTERVAL_MS = 500;
 
-/** An agent process. */
+/** Runs tasks on an upstream and drives the agent's state machine. */
 export class AgentDaemon extends DaemonBase {
   protected override readonly role = 'agent';
   private node!: AgentNode;
@@ -57,7 +57,7 @@
     const registrarLimits = { horizonMs, skewMs, leaseMs, maxClaims };
     const membership = { address: this.address, failureDomain, registrar, proposeRepeatMs };
     this.node = new AgentNode(this.peer, limits, registrarLimits, membership);
-    this.every(PROBE_MS, () => void this.probeUpstream());
+    this.every(PROBE_INTERVAL_MS, () => void this.probeUpstream());
   }
 
   protected override buildHello(): Hello {
@@ -87,12 +87,12 @@
   }
 
   protected override isBusy(): boolean {
-    // Only expiry and membership wait for time; neither is urgent.
+    // Ticks only drive expiry and membership proposals, which are not urgent.
     return false;
   }
 
   protected override endTurn(): void {
-    for (const effect of this.node.takeEffects()) this.carryOut(effect);
+    for (const effect of this.node.takeEffects()) this.applyEffect(effect);
     this.hub.flush();
   }
 
@@ -125,7 +125,7 @@
     return false;
   }
 
-  private carryOut(effect: AgentNodeEffect): void {
+  private applyEffect(effect: AgentNodeEffect): void {
     if (effect.type === 'send') return this.hub.send(effect.to, effect.message);
     if (effect.type === 'run') return void this.runTask(effect.task);
     if (effect.type === 'append') return this.append(effect.record);
--- a/src/process/agent/AgentNode.ts
+++ b/src/process/agent/AgentNode.ts
@@ -1,4 +1,4 @@
-/** One agent process without its input and output: messages, log records and time in, effects out. */
+/** Logic of an agent process without I/O: takes messages, log records and the time, and returns effects. */
 import type { Heartbeat, Hello, Message } from '../../connection/messages.js';
 import type { ConfigState } from '../../version/configState.js';
 import { createConfigState } from '../../version/configState.js';
@@ -16,27 +16,27 @@
 import { endTask } from './endTask.js';
 import type { UpstreamOutcome } from './endTask.js';
 import { expireAgentJobs } from './expireAgentJobs.js';
-import { grantCredits, tellCredits } from './grantCredits.js';
+import { grantCredits, sendCredits } from './grantCredits.js';
 import { handleAck } from './handleAck.js';
 import { handleStart } from './handleStart.js';
 import { handleCancel, handleSweep } from './handleSweep.js';
 import { isAgentDrained, leaveAgent } from './leaveAgent.js';
 import { closeEntryLink, handleDemand, openEntryLink } from './openEntryLink.js';
 
-/** Between two cleanings of the tables, ms. */
-const EXPIRE_EVERY_MS = 1_000;
+/** Interval between removals of expired jobs and claims, ms. */
+const EXPIRE_INTERVAL_MS = 1_000;
 
-/** Settings of an agent's membership. */
+/** Membership settings of an agent. */
 export interface AgentMembership {
   readonly address: string;
   readonly failureDomain: string;
-  /** Whether the process offers to hold seats. */
+  /** Whether the process joins as a registrar. */
   readonly registrar: boolean;
-  /** Before a proposal without effect is repeated, ms. */
+  /** Wait before a proposal without effect is repeated, ms. */
   readonly proposeRepeatMs: number;
 }
 
-/** An effect of an agent, or a record that it wants on the log. */
+/** An effect of an agent, or a record to append to the log. */
 export type AgentNodeEffect = AgentEffect | { readonly type: 'append'; readonly record: LogRecord };
 
 /** An agent process, with its registrar, as a pure state machine over messages and time. */
@@ -74,18 +74,18 @@
     };
   }
 
-  /** Takes an entry's link into use. */
+  /** Handles a new link of an entry. */
   openLink(hello: Hello): void {
     openEntryLink(this.state, hello.peer);
-    this.compareOffset(hello.peer, hello.offset);
+    this.requestNewerState(hello.peer, hello.offset);
   }
 
-  /** Notes that an entry's link is down. */
+  /** Handles the loss of an entry's link. */
   closeLink(peer: string): void {
     closeEntryLink(this.state, peer);
   }
 
-  /** Handles one message of a linked entry. */
+  /** Handles one message from a linked entry. */
   receive(from: string, message: Message, now: number): void {
     const { state, registrar } = this;
     switch (message.type) {
@@ -110,60 +110,60 @@
       case 'stateRequest':
         return this.sendState(from, message.offset);
       case 'stateReply':
-        return this.adoptState(message.state);
+        return this.applyState(message.state);
       default:
         return;
     }
   }
 
-  /** Records how the upstream's handling of a task ended. */
+  /** Records the outcome of a task's request to the upstream. */
   endTask(task: AgentTask, outcome: UpstreamOutcome, now: number): void {
     endTask(this.state, task, outcome, now);
   }
 
-  /** Applies records read from the log; an empty read still proves that the log was reached. */
+  /** Applies records read from the log. An empty read renews the lease too. */
   followLog(entries: readonly LogEntry[], now: number): void {
     renewLease(this.registrar, now);
     const config = followLog(this.registrar.config, entries);
     if (config !== this.registrar.config) applyRegistrarConfig(this.registrar, config);
   }
 
-  /** Does what time brings. */
+  /** Runs the periodic work: expiry and membership proposals. */
   tick(now: number): void {
-    if (now - this.expiredAt >= EXPIRE_EVERY_MS) {
+    if (now - this.expiredAt >= EXPIRE_INTERVAL_MS) {
       this.expiredAt = now;
       expireAgentJobs(this.state, now);
       expireClaims(this.registrar, now);
     }
-    this.proposeMembers(now);
+    this.proposeMemberChanges(now);
   }
 
-  /** Notes whether the upstream accepts connections; while it does not, no credit is granted. */
+  /** Records whether the upstream accepts connections; no credit is granted while it does not. */
   setUpstreamDown(down: boolean): void {
     this.state.upstreamDown = down;
     grantCredits(this.state);
   }
 
-  /** After a pause nothing that was heard before counts. */
+  /** Invalidates the registrar's lease after the process was paused. */
   revalidate(): void {
-    this.registrar.heardAt = Number.NEGATIVE_INFINITY;
+    this.registrar.leaseRenewedAt = Number.NEGATIVE_INFINITY;
   }
 
-  /** Begins a planned stop. */
+  /** Starts a planned stop. */
   leave(): void {
     leaveAgent(this.state);
     this.registrar.leaving = true;
   }
 
-  /** True when a leaving agent has nothing left to run or to deliver and holds no seat. */
+  /** True when the agent has no tasks to run, no answers to deliver and no seat. */
   get isDrained(): boolean {
     const { config, peer } = this.registrar;
     return isAgentDrained(this.state) && !config.seats.some((seat) => seat.peer === peer);
   }
 
-  /** Ends a turn and returns everything to carry out. */
+  /** Ends a turn and returns the effects to apply. */
   takeEffects(): readonly AgentNodeEffect[] {
-    tellCredits(this.state);
+    sendCredits(this.state);
     const effects: AgentNodeEffect[] = this.state.outbox;
     this.state.outbox = [];
     for (const { to, message } of this.registrar.outbox) effects.push({ type: 'send', to, message });
@@ -173,7 +173,7 @@
     return effects;
   }
 
-  private proposeMembers(now: number): void {
+  private proposeMemberChanges(now: number): void {
     if (!this.membership.registrar) return;
     const { config, peer, leaving } = this.registrar;
     const member = [...config.registrars, ...config.standbys].find((one) => one.peer === peer);
@@ -184,12 +184,12 @@
     this.appends.push(...pickDueRecords(this.proposals, records, now));
   }
 
-  /** An entry that heard a majority of the registrars at this offset proves that no seat was given away. */
+  /** Renews the lease if the entry reports a majority of the registrars at this offset: no seat was reassigned. */
   private handleHeartbeat(from: string, heartbeat: Heartbeat, now: number): void {
     const { config } = this.registrar;
     const majority = heartbeat.registrarsHeard > config.registrars.length / 2;
     if (heartbeat.offset >= config.offset && majority) renewLease(this.registrar, now);
-    this.compareOffset(from, heartbeat.offset);
+    this.requestNewerState(from, heartbeat.offset);
     if (!heartbeat.reply) return;
     const granted = this.state.credits.get(from)?.granted ?? 0;
     const { offset } = config;
@@ -197,7 +197,7 @@
     this.send(from, { type: 'heartbeat', offset, ...state });
   }
 
-  private compareOffset(peer: string, offset: number): void {
+  private requestNewerState(peer: string, offset: number): void {
     const { config } = this.registrar;
     if (offset > config.offset) this.send(peer, { type: 'stateRequest', offset: config.offset });
   }
@@ -208,7 +208,7 @@
     this.send(to, { type: 'stateReply', offset: config.offset, state: JSON.stringify(config) });
   }
 
-  private adoptState(text: string): void {
+  private applyState(text: string): void {
     const config = JSON.parse(text) as ConfigState;
     if (config.offset > this.registrar.config.offset) applyRegistrarConfig(this.registrar, config);
   }
--- a/src/process/agent/_lib/changeTask.ts
+++ b/src/process/agent/_lib/changeTask.ts
@@ -6,18 +6,18 @@
 import type { AgentState, AgentTask } from '../agentState.js';
 
 /**
- * Moves a task along its machine.
+ * Applies an event to a task's state machine.
  *
  * @param task - the task, which is changed
- * @param event - what happened
- * @throws InvariantError when the machine has no such transition
+ * @param event - the event
+ * @throws InvariantError when the task's state does not allow the event
  */
 export function changeTask(task: AgentTask, event: AgentTaskEvent): void {
   task.state = stepMachine(AGENT_TASK_TABLE, task.state, event);
 }
 
 /**
- * Gives a task's credit back to the entry it was accepted from.
+ * Releases the credit that a task used.
  *
  * @param state - the agent's state
  * @param task - a task that has just ended
@@ -25,21 +25,21 @@
 export function releaseCredit(state: AgentState, task: AgentTask): void {
   const credit = findCredit(state, task.from);
   credit.outstanding -= 1;
-  assertInvariant(credit.outstanding >= 0, `entry ${task.from} has fewer than no tasks outstanding`);
+  assertInvariant(credit.outstanding >= 0, `entry ${task.from} has a negative number of outstanding tasks`);
   if (!credit.connected && credit.outstanding === 0) state.credits.delete(task.from);
 }
 
 /**
- * Ends a task that waits: it will not be started by this attempt.
+ * Refuses a waiting task: removes it from the queue and releases its credit.
  *
  * @param state - the agent's state
  * @param task - a waiting task
- * @param reason - for the log and the entry
+ * @param reason - reason for the log and the entry
  */
-export function refuseWaiting(state: AgentState, task: AgentTask, reason: string): void {
-  const place = state.waiting.indexOf(task);
-  assertInvariant(place >= 0, `waiting task ${task.job.key}/${task.index} is not in the queue`);
-  state.waiting.splice(place, 1);
+export function refuseWaitingTask(state: AgentState, task: AgentTask, reason: string): void {
+  const index = state.waiting.indexOf(task);
+  assertInvariant(index >= 0, `waiting task ${task.job.key}/${task.index} is not in the queue`);
+  state.waiting.splice(index, 1);
   changeTask(task, 'refuse');
   task.reason = reason;
   task.body = '';
--- a/src/process/agent/_lib/findCredit.ts
+++ b/src/process/agent/_lib/findCredit.ts
@@ -1,19 +1,18 @@
 import type { AgentState, EntryCredit } from '../agentState.js';
 
 /**
- * Creates the credit of an entry that was granted nothing.
+ * Creates the credit of an entry, with all counters at 0.
  *
  * @param peer - the entry
- * @returns the credit, without a link
+ * @returns the credit, marked as not connected
  */
 export function createCredit(peer: string): EntryCredit {
-  const counters = { granted: 0, told: 0, used: 0, outstanding: 0, waiting: 0, headRank: 0 };
-  return { peer, ...counters, answering: false, connected: false };
+  const counters = { granted: 0, reportedGranted: 0, used: 0, outstanding: 0, waiting: 0, headRank: 0 };
+  return { peer, ...counters, hasPendingResult: false, connected: false };
 }
 
 /**
- * Finds the credit of an entry. A task can arrive over a link whose end was noticed already, so the entry
- * may have to be added.
+ * Finds the credit of an entry, or creates it: a start may be processed after its link was closed.
  *
  * @param state - the agent's state
  * @param peer - the entry
--- a/src/process/agent/_lib/replyResult.ts
+++ b/src/process/agent/_lib/replyResult.ts
@@ -2,7 +2,7 @@
 import type { AgentState, AgentTask } from '../agentState.js';
 
 /**
- * Sends a task's state to an entry, with the entry's renewed credit.
+ * Sends a task's state to an entry, together with the entry's granted credits.
  *
  * @param state - the agent's state
  * @param to - the entry
@@ -26,13 +26,13 @@
 }
 
 /**
- * Refuses a start without any record in the table.
+ * Rejects a start without recording it.
  *
  * @param state - the agent's state
  * @param to - the entry
- * @param start - what it asked for
- * @param outcome - `refused` when this start proves that the task did not run, else `unknown`
- * @param reason - for the log
+ * @param start - the rejected start
+ * @param outcome - `refused` if the task was certainly not started by this message, else `unknown`
+ * @param reason - reason for the log
  */
 export function replyWithoutRecord(
   state: AgentState,
@@ -48,6 +48,6 @@
 
 function sendResult(state: AgentState, to: string, result: Result): void {
   const credit = state.credits.get(to);
-  if (credit) credit.told = credit.granted;
+  if (credit) credit.reportedGranted = credit.granted;
   state.outbox.push({ type: 'send', to, message: { ...result, granted: credit?.granted ?? 0 } });
 }
--- a/src/process/agent/agentState.ts
+++ b/src/process/agent/agentState.ts
@@ -1,23 +1,23 @@
-/** What an agent knows: the tasks it was asked to start, and the credit of each entry. */
+/** State of an agent: the tasks sent to it and the credit of each entry. */
 import type { AgentTaskState, Epoch, Message } from '../../connection/messages.js';
 
-/** Bounds of an agent. */
+/** Limits of an agent. */
 export interface AgentLimits {
-  /** Tasks that the upstream runs at once. */
+  /** Number of tasks that the upstream runs concurrently. */
   readonly slots: number;
-  /** Credits beyond the slots, which hide the round trip to the entries. */
+  /** Credits in addition to the slots, so that slots stay busy during the round trip to the entries. */
   readonly overcommit: number;
-  /** How long a job is remembered after its creation, in ms. */
+  /** How long a job is kept after its creation, ms. */
   readonly horizonMs: number;
-  /** Most jobs in the table; past it no credit is granted. */
+  /** Largest number of jobs in the table; at it no credit is granted. */
   readonly maxJobs: number;
-  /** Most bytes of held answers; past it acknowledged ones are dropped, then no credit is granted. */
+  /** Largest size of held answers. Past half of it acknowledged answers are dropped; at it no credit is granted. */
   readonly maxAnswerBytes: number;
-  /** How much lower another entry's task must rank, in ms, to get a credit that costs a message. */
+  /** How much lower another entry's first task must rank, in ms, to get a credit that needs an extra message. */
   readonly stickinessMs: number;
 }
 
-/** Limits of an agent beside an upstream of 8 slots. */
+/** Default limits, for an upstream with 8 slots. */
 export const DEFAULT_AGENT_LIMITS: AgentLimits = {
   slots: 8,
   overcommit: 2,
@@ -27,20 +27,20 @@
   stickinessMs: 500,
 };
 
-/** One task as the agent knows it. */
+/** A task that was sent to the agent. */
 export interface AgentTask {
   readonly job: AgentJob;
   readonly index: number;
   state: AgentTaskState;
   attempt: number;
-  /** Epoch of the attempt. */
+  /** Epoch under which the attempt was sent. */
   epoch: Epoch;
   kind: string;
-  /** JSON text sent to the upstream; dropped once the task ended. */
+  /** JSON text for the upstream; cleared once the task has ended. */
   body: string;
   deadline: number;
   rank: number;
-  /** The entry whose credit the task uses. */
+  /** Entry whose credit the task uses. */
   from: string;
   status: number;
   answer: string;
@@ -50,35 +50,36 @@
   workMs: number;
 }
 
-/** One job as the agent knows it. */
+/** A job with tasks sent to the agent, or fenced by a sweep. */
 export interface AgentJob {
   readonly key: string;
   readonly createdAt: number;
   epoch: Epoch;
-  /** The entry that owns the job at that epoch. */
+  /** Entry that owns the job at that epoch. */
   owner: string;
   readonly tasks: Map<number, AgentTask>;
 }
 
-/** Credit of one entry. Counters start anew with each link. */
+/** Credit of an entry. The counters are reset for each link, except for `outstanding`. */
 export interface EntryCredit {
   readonly peer: string;
   granted: number;
-  /** The count of `granted` that the entry was last told. */
-  told: number;
+  /** Value of `granted` last reported to the entry. */
+  reportedGranted: number;
   used: number;
   /** Accepted tasks that have not ended. */
   outstanding: number;
-  /** Tasks that wait in the entry, as it last said. */
+  /** Number of tasks waiting in the entry, as last reported by it. */
   waiting: number;
+  /** Rank of the first of them. */
   headRank: number;
-  /** True while a result for the entry is being made, which can carry a credit. */
-  answering: boolean;
+  /** True while a result for the entry is being prepared, which can carry a credit. */
+  hasPendingResult: boolean;
   /** False while the entry's link is down. */
   connected: boolean;
 }
 
-/** What the agent's loop has to carry out. */
+/** An action for the caller of the state machine to apply. */
 export type AgentEffect =
   | { readonly type: 'send'; readonly to: string; readonly message: Message }
   | { readonly type: 'run'; readonly task: AgentTask }
@@ -94,24 +95,25 @@
   readonly peer: string;
   readonly limits: AgentLimits;
   readonly jobs: Map<string, AgentJob>;
-  /** Accepted tasks without a slot, lowest rank first. */
+  /** Accepted tasks waiting for a slot, lowest rank first. */
   readonly waiting: AgentTask[];
   running: number;
   readonly credits: Map<string, EntryCredit>;
   leaving: boolean;
   /** True while the upstream refuses connections. */
   upstreamDown: boolean;
+  /** Size of the held answers. */
   answerBytes: number;
-  /** Finished tasks whose answers the owner holds, oldest first. */
+  /** Finished tasks whose answers the owner acknowledged, oldest first. */
   readonly acked: AgentTask[];
   outbox: AgentEffect[];
 }
 
 /**
- * Creates the state of an agent that has started nothing.
+ * Creates the state of an agent without jobs and entries.
  *
  * @param peer - `id@incarnation` of the process
- * @param limits - its bounds
+ * @param limits - its limits
  * @returns the state
  * @example
  * createAgentState('agent-1@a', DEFAULT_AGENT_LIMITS).running; // 0
--- a/src/process/agent/endTask.ts
+++ b/src/process/agent/endTask.ts
@@ -3,38 +3,41 @@
 import { replyResult } from './_lib/replyResult.js';
 import type { AgentState, AgentTask } from './agentState.js';
 import { grantCredits } from './grantCredits.js';
-import { runWaiting } from './runWaiting.js';
+import { runWaitingTasks } from './runWaitingTasks.js';
 
-/** How the upstream's handling of a task ended. */
+/** Outcome of a task's request to the upstream. */
 export type UpstreamOutcome =
   | { readonly type: 'answered'; readonly status: number; readonly body: string }
-  /** The request never left: no connection was made. */
+  /** The request was not sent, because no connection could be opened. */
   | { readonly type: 'unsent'; readonly reason: string }
-  /** The connection broke after the request was sent. */
+  /** The connection failed after the request was sent. */
   | { readonly type: 'lost'; readonly reason: string };
 
 /**
- * Records how a running task ended, tells the job's owner, and uses the freed slot.
+ * Records the outcome of a running task, sends the result to the job's owner and reuses the freed slot.
  *
  * @param state - the agent's state
  * @param task - a running task
- * @param outcome - what the upstream did
+ * @param outcome - outcome of its request
  * @param now - ms since the epoch
  * @example
  * endTask(state, task, { type: 'answered', status: 200, body: '{}' }, Date.now());
  */
 export function endTask(state: AgentState, task: AgentTask, outcome: UpstreamOutcome, now: number): void {
-  assertInvariant(task.state === 'running', `task ${task.job.key}/${task.index} ended twice`);
+  assertInvariant(
+    task.state === 'running',
+    `task ${task.job.key}/${task.index} is not running and cannot end`,
+  );
   state.running -= 1;
   task.body = '';
   task.workMs = now - task.startedAt;
   recordOutcome(state, task, outcome);
   releaseCredit(state, task);
-  runWaiting(state, now);
+  runWaitingTasks(state, now);
   const owner = state.credits.get(task.job.owner);
-  if (owner) owner.answering = true;
+  if (owner) owner.hasPendingResult = true;
   grantCredits(state);
-  if (owner) owner.answering = false;
+  if (owner) owner.hasPendingResult = false;
   replyResult(state, task.job.owner, task);
 }
 
--- a/src/process/agent/expireAgentJobs.ts
+++ b/src/process/agent/expireAgentJobs.ts
@@ -1,14 +1,14 @@
 import type { AgentState } from './agentState.js';
 
-/** How long past the horizon a job is kept, in ms, for clocks that differ. */
+/** How long a job is kept beyond the horizon, to allow for clock skew, ms. */
 export const HORIZON_MARGIN_MS = 10_000;
 
 /**
- * Forgets jobs past the horizon. A start for one of them is answered `unknown`, never run.
+ * Removes jobs past the horizon. A later start for one of them is answered with `unknown` and not run.
  *
  * @param state - the agent's state
  * @param now - ms since the epoch
- * @returns how many jobs were forgotten
+ * @returns number of removed jobs
  * @example
  * expireAgentJobs(state, Date.now());
  */
--- a/src/process/agent/grantCredits.ts
+++ b/src/process/agent/grantCredits.ts
@@ -1,9 +1,9 @@
 import type { AgentState, EntryCredit } from './agentState.js';
 
 /**
- * Grants free credits. An entry without waiting tasks keeps an even share, so that a job which arrives there
- * can start at once; the credits that are really in use or asked for are handed out one by one to the entry
- * whose first waiting task ranks lowest, so that priority holds across entries.
+ * Grants free credits. An entry without waiting tasks keeps an even share, so that its next job can start at
+ * once. The remaining credits are granted one by one to the entry whose first waiting task ranks lowest, so that
+ * priorities hold across entries. Even shares that are not in use do not reduce the remaining credits.
  *
  * @param state - the agent's state, which is changed
  * @example
@@ -15,26 +15,26 @@
   const links = [...state.credits.values()].filter((credit) => credit.connected);
   if (links.length === 0) return;
   grantShares(links, limit);
-  let free = limit - countCommitted(state);
+  let free = limit - countCommittedCredits(state);
   while (free > 0) {
-    const neediest = findNeediest(links, state.limits.stickinessMs);
-    if (!neediest) return;
-    neediest.granted += 1;
+    const entry = selectNextEntry(links, state.limits.stickinessMs);
+    if (!entry) return;
+    entry.granted += 1;
     free -= 1;
   }
 }
 
 /**
- * Tells every entry its credits that no result told it.
+ * Sends the granted credits to the entries to which no result has reported them.
  *
  * @param state - the agent's state, whose outbox receives the messages
  * @example
  * tellCredits(state);
  */
-export function tellCredits(state: AgentState): void {
+export function sendCredits(state: AgentState): void {
   for (const credit of state.credits.values()) {
-    if (!credit.connected || credit.told === credit.granted) continue;
-    credit.told = credit.granted;
+    if (!credit.connected || credit.reportedGranted === credit.granted) continue;
+    credit.reportedGranted = credit.granted;
     const message = { type: 'credit', granted: credit.granted } as const;
     state.outbox.push({ type: 'send', to: credit.peer, message });
   }
@@ -56,8 +56,8 @@
   }
 }
 
-/** Credits in use by accepted tasks, or on their way to entries with waiting tasks. */
-function countCommitted(state: AgentState): number {
+/** Counts the credits in use by accepted tasks, and the unused credits of entries with waiting tasks. */
+function countCommittedCredits(state: AgentState): number {
   let committed = 0;
   for (const credit of state.credits.values()) {
     committed += credit.outstanding;
@@ -67,15 +67,15 @@
 }
 
 /**
- * Finds the entry whose first waiting task ranks lowest. The entry that is told its credits anyway, because it
- * has a result coming, is preferred within the stickiness: a credit for another costs a message.
+ * Selects the entry whose first waiting task ranks lowest. The entry with a pending result is preferred within the
+ * stickiness, because that result carries its credits; a credit for any other entry needs an extra message.
  */
-function findNeediest(links: readonly EntryCredit[], stickinessMs: number): EntryCredit | undefined {
+function selectNextEntry(links: readonly EntryCredit[], stickinessMs: number): EntryCredit | undefined {
   let best: EntryCredit | undefined;
   let bestRank = Number.POSITIVE_INFINITY;
   for (const credit of links) {
     if (credit.waiting <= credit.granted - credit.used) continue;
-    const rank = credit.headRank - (credit.answering ? stickinessMs : 0);
+    const rank = credit.headRank - (credit.hasPendingResult ? stickinessMs : 0);
     if (rank >= bestRank) continue;
     best = credit;
     bestRank = rank;
--- a/src/process/agent/handleAck.ts
+++ b/src/process/agent/handleAck.ts
@@ -1,12 +1,12 @@
 import type { Ack } from '../../connection/messages.js';
 import type { AgentState, AgentTask } from './agentState.js';
 
-/** Share of the answer bound above which acknowledged answers are dropped. */
-const DROP_ABOVE = 0.5;
+/** Share of `maxAnswerBytes` above which acknowledged answers are dropped. */
+const DROP_ABOVE_SHARE = 0.5;
 
 /**
- * Notes that the owner holds some answers. They are kept for a takeover while there is room and dropped,
- * oldest first, when there is not.
+ * Records that the owner holds some answers. The agent keeps them for a takeover, but drops the oldest when the
+ * held answers grow too large.
  *
  * @param state - the agent's state
  * @param ack - the message
@@ -20,7 +20,7 @@
       if (task?.hasAnswer) state.acked.push(task);
     }
   }
-  const bound = state.limits.maxAnswerBytes * DROP_ABOVE;
+  const bound = state.limits.maxAnswerBytes * DROP_ABOVE_SHARE;
   while (state.answerBytes > bound && state.acked.length > 0) dropAnswer(state, state.acked.shift());
 }
 
--- a/src/process/agent/handleStart.test.ts
+++ b/src/process/agent/handleStart.test.ts
@@ -24,36 +24,36 @@
   return state;
 }
 
-function takeRuns(state: AgentState): AgentTask[] {
+function listRuns(state: AgentState): AgentTask[] {
   return state.outbox.flatMap((effect) => (effect.type === 'run' ? [effect.task] : []));
 }
 
-function takeResults(state: AgentState): Result[] {
+function listResults(state: AgentState): Result[] {
   return state.outbox.flatMap((effect) => {
     return effect.type === 'send' && effect.message.type === 'result' ? [effect.message] : [];
   });
 }
 
 describe('handleStart', () => {
-  it('runs a task once, however often it is asked', () => {
+  it('runs a task once when its start is repeated', () => {
     const state = buildAgent();
     handleStart(state, ENTRY, buildStart(), NOW);
     handleStart(state, ENTRY, buildStart(), NOW);
     handleStart(state, ENTRY, buildStart({ again: true }), NOW);
-    expect(takeRuns(state)).to.have.length(1);
-    expect(takeResults(state).map(({ state: reached }) => reached)).to.deep.equal(['running']);
+    expect(listRuns(state)).to.have.length(1);
+    expect(listResults(state).map(({ state: reached }) => reached)).to.deep.equal(['running']);
   });
 
-  it('answers a repeat with the finished answer', () => {
+  it('answers a repeated start with the answer of the finished task', () => {
     const state = buildAgent();
     handleStart(state, ENTRY, buildStart(), NOW);
-    endTask(state, takeRuns(state)[0] as AgentTask, { type: 'answered', status: 200, body: '"x"' }, NOW + 9);
+    endTask(state, listRuns(state)[0] as AgentTask, { type: 'answered', status: 200, body: '"x"' }, NOW + 9);
     handleStart(state, ENTRY, buildStart({ attempt: 2 }), NOW);
-    expect(takeResults(state).map(({ body }) => body)).to.deep.equal(['"x"', '"x"']);
-    expect(takeRuns(state)).to.have.length(1);
+    expect(listResults(state).map(({ body }) => body)).to.deep.equal(['"x"', '"x"']);
+    expect(listRuns(state)).to.have.length(1);
   });
 
-  it('refuses an epoch below the one that fenced the job', () => {
+  it('refuses a start with an epoch below the one that fenced the job', () => {
     const state = buildAgent();
     handleSweep(state, 'entry-2@b', {
       type: 'sweep',
@@ -62,58 +62,58 @@
       epoch: { version: 1, counter: 2 },
     });
     handleStart(state, ENTRY, buildStart(), NOW);
-    expect(takeResults(state)[0]).to.include({ state: 'refused', reason: 'fenced' });
-    expect(takeRuns(state)).to.be.empty;
+    expect(listResults(state)[0]).to.include({ state: 'refused', reason: 'fenced' });
+    expect(listRuns(state)).to.be.empty;
   });
 
-  it('keeps a tombstone: the refused attempt never starts, a later one may', () => {
+  it('never starts a refused attempt, but starts a later one', () => {
     const state = buildAgent();
     handleStart(state, ENTRY, buildStart({ deadline: NOW - 1 }), NOW);
     handleStart(state, ENTRY, buildStart(), NOW);
-    expect(takeRuns(state)).to.be.empty;
+    expect(listRuns(state)).to.be.empty;
     handleStart(state, ENTRY, buildStart({ attempt: 2 }), NOW);
-    expect(takeRuns(state)).to.have.length(1);
+    expect(listRuns(state)).to.have.length(1);
   });
 
-  it('says unknown, not refused, of a key older than its table', () => {
+  it('answers unknown, not refused, to a start whose key is past the horizon', () => {
     const state = buildAgent();
     handleStart(state, ENTRY, buildStart({ createdAt: NOW - DEFAULT_AGENT_LIMITS.horizonMs - 1 }), NOW);
-    expect(takeResults(state)[0]).to.include({ state: 'unknown', reason: 'too-old' });
+    expect(listResults(state)[0]).to.include({ state: 'unknown', reason: 'too-old' });
   });
 
-  it('starts waiting tasks by rank and stops those of a cancelled job', () => {
+  it('starts waiting tasks by rank and refuses those of a cancelled job', () => {
     const state = buildAgent();
     handleStart(state, ENTRY, buildStart(), NOW);
     handleStart(state, ENTRY, buildStart({ job: 'job-2', rank: 9 }), NOW);
     handleStart(state, ENTRY, buildStart({ job: 'job-3', rank: 5 }), NOW);
     handleCancel(state, ENTRY, { type: 'cancel', job: 'job-2', epoch: { version: 1, counter: 1 } });
-    endTask(state, takeRuns(state)[0] as AgentTask, { type: 'answered', status: 200, body: '1' }, NOW);
-    expect(takeRuns(state).map((task) => task.job.key)).to.deep.equal(['job-1', 'job-3']);
-    expect(takeResults(state).find(({ job }) => job === 'job-2')).to.include({ state: 'refused' });
+    endTask(state, listRuns(state)[0] as AgentTask, { type: 'answered', status: 200, body: '1' }, NOW);
+    expect(listRuns(state).map((task) => task.job.key)).to.deep.equal(['job-1', 'job-3']);
+    expect(listResults(state).find(({ job }) => job === 'job-2')).to.include({ state: 'refused' });
   });
 
-  it('takes nothing while it leaves, and delivers what runs', () => {
+  it('refuses waiting and new tasks while leaving and delivers the results of running ones', () => {
     const state = buildAgent();
     handleStart(state, ENTRY, buildStart(), NOW);
     handleStart(state, ENTRY, buildStart({ job: 'job-2' }), NOW);
     leaveAgent(state);
     handleStart(state, ENTRY, buildStart({ job: 'job-3' }), NOW);
-    endTask(state, takeRuns(state)[0] as AgentTask, { type: 'answered', status: 200, body: '1' }, NOW);
-    const states = Object.fromEntries(takeResults(state).map(({ job, state: reached }) => [job, reached]));
+    endTask(state, listRuns(state)[0] as AgentTask, { type: 'answered', status: 200, body: '1' }, NOW);
+    const states = Object.fromEntries(listResults(state).map(({ job, state: reached }) => [job, reached]));
     expect(states).to.deep.equal({ 'job-1': 'finished', 'job-2': 'refused', 'job-3': 'refused' });
-    expect(takeRuns(state)).to.have.length(1);
+    expect(listRuns(state)).to.have.length(1);
   });
 });
 
 describe('grantCredits', () => {
-  it('gives a freed credit to the entry whose first waiting task ranks lowest', () => {
+  it('grants a freed credit to the entry whose first waiting task ranks lowest', () => {
     const state = createAgentState('agent-1@a', { ...DEFAULT_AGENT_LIMITS, slots: 1, overcommit: 0 });
     openEntryLink(state, ENTRY);
     openEntryLink(state, 'entry-2@b');
     handleStart(state, ENTRY, buildStart({ waiting: 3, headRank: 9_000 }), NOW);
     handleStart(state, 'entry-2@b', buildStart({ job: 'job-2', waiting: 3, headRank: 1 }), NOW);
-    endTask(state, takeRuns(state)[0] as AgentTask, { type: 'answered', status: 200, body: '1' }, NOW);
-    endTask(state, takeRuns(state)[1] as AgentTask, { type: 'answered', status: 200, body: '1' }, NOW);
+    endTask(state, listRuns(state)[0] as AgentTask, { type: 'answered', status: 200, body: '1' }, NOW);
+    endTask(state, listRuns(state)[1] as AgentTask, { type: 'answered', status: 200, body: '1' }, NOW);
     expect(state.credits.get('entry-2@b')).to.include({ granted: 2 });
     expect(state.credits.get(ENTRY)).to.include({ granted: 1 });
   });
--- a/src/process/agent/handleStart.ts
+++ b/src/process/agent/handleStart.ts
@@ -5,11 +5,11 @@
 import { replyResult, replyWithoutRecord } from './_lib/replyResult.js';
 import type { AgentJob, AgentState, AgentTask } from './agentState.js';
 import { grantCredits } from './grantCredits.js';
-import { runWaiting } from './runWaiting.js';
+import { runWaitingTasks } from './runWaitingTasks.js';
 
 /**
- * Handles a start. The task is accepted at most once: a repeat is answered with the state that the table
- * holds, an epoch below the job's is refused, and each refusal leaves a tombstone for the attempt.
+ * Handles a start idempotently. A repeated start is answered with the recorded state of its task, and one with an
+ * epoch below the job's is refused. A refused attempt is recorded, so that it never runs.
  *
  * @param state - the agent's state
  * @param from - the entry that sent it
@@ -19,8 +19,8 @@
  * handleStart(state, 'entry-1@a', start, Date.now());
  */
 export function handleStart(state: AgentState, from: string, start: Start, now: number): void {
-  noteDemand(state, from, start);
-  const job = findJob(state, from, start, now);
+  recordDemand(state, from, start);
+  const job = findOrCreateJob(state, from, start, now);
   if (!job) return;
   const known = job.tasks.get(start.index);
   if (known && !isNewAttempt(known, start)) {
@@ -34,7 +34,7 @@
   acceptTask(state, task, now);
 }
 
-function noteDemand(state: AgentState, from: string, start: Start): void {
+function recordDemand(state: AgentState, from: string, start: Start): void {
   const credit = state.credits.get(from);
   if (!credit) return;
   credit.used = Math.max(credit.used, start.used);
@@ -42,8 +42,8 @@
   credit.headRank = start.headRank;
 }
 
-/** Finds or creates the job's record, or refuses the start when the job forbids it. */
-function findJob(state: AgentState, from: string, start: Start, now: number): AgentJob | undefined {
+/** Finds or creates the job's record. Rejects a start that is too old or fenced. */
+function findOrCreateJob(state: AgentState, from: string, start: Start, now: number): AgentJob | undefined {
   const job = state.jobs.get(start.job);
   if (!job) {
     if (start.createdAt + state.limits.horizonMs < now) {
@@ -65,7 +65,7 @@
   return job;
 }
 
-/** Only a tombstone gives way, and only to a later attempt or a later owner. */
+/** Checks whether a start replaces a recorded task: only a refused one, by a later attempt or a higher epoch. */
 function isNewAttempt(known: AgentTask, start: Start): boolean {
   if (known.state !== 'refused') return false;
   return start.attempt > known.attempt || compareEpochs(start.epoch, known.epoch) > 0;
@@ -88,8 +88,8 @@
   if (state.leaving) return 'leaving';
   if (state.upstreamDown) return 'upstream-down';
   if (start.deadline < now) return 'late';
-  const share = state.limits.slots + state.limits.overcommit;
-  if (state.waiting.length >= share * (1 + state.credits.size)) return 'full';
+  const maxCredits = state.limits.slots + state.limits.overcommit;
+  if (state.waiting.length >= maxCredits * (1 + state.credits.size)) return 'full';
   return '';
 }
 
@@ -105,12 +105,12 @@
 function acceptTask(state: AgentState, task: AgentTask, now: number): void {
   findCredit(state, task.from).outstanding += 1;
   insertByRank(state.waiting, task);
-  runWaiting(state, now);
+  runWaitingTasks(state, now);
   grantCredits(state);
 }
 
 function insertByRank(waiting: AgentTask[], task: AgentTask): void {
-  let place = waiting.length;
-  while (place > 0 && (waiting[place - 1] as AgentTask).rank > task.rank) place -= 1;
-  waiting.splice(place, 0, task);
+  let index = waiting.length;
+  while (index > 0 && (waiting[index - 1] as AgentTask).rank > task.rank) index -= 1;
+  waiting.splice(index, 0, task);
 }
--- a/src/process/agent/handleSweep.ts
+++ b/src/process/agent/handleSweep.ts
@@ -1,12 +1,12 @@
 import { compareEpochs } from '../../connection/compareEpochs.js';
 import type { Cancel, Sweep, Swept, SweptTask } from '../../connection/messages.js';
-import { refuseWaiting } from './_lib/changeTask.js';
+import { refuseWaitingTask } from './_lib/changeTask.js';
 import { replyResult } from './_lib/replyResult.js';
 import type { AgentJob, AgentState } from './agentState.js';
 import { grantCredits } from './grantCredits.js';
 
 /**
- * Fences a job for its new owner and tells it every task that was started here or refused.
+ * Fences a job for its new owner and sends it the state of all recorded tasks of the job.
  *
  * @param state - the agent's state
  * @param from - the entry that took the job over
@@ -30,7 +30,7 @@
 }
 
 /**
- * Refuses the waiting tasks of a failed job. Running ones go on; their answers are recorded.
+ * Refuses the waiting tasks of a failed job. Running tasks continue and their answers are recorded.
  *
  * @param state - the agent's state
  * @param from - the entry that owns the job
@@ -43,7 +43,7 @@
   if (!job || compareEpochs(cancel.epoch, job.epoch) < 0) return;
   const waiting = state.waiting.filter((task) => task.job === job);
   for (const task of waiting) {
-    refuseWaiting(state, task, 'cancelled');
+    refuseWaitingTask(state, task, 'cancelled');
     replyResult(state, from, task);
   }
   grantCredits(state);
--- a/src/process/agent/leaveAgent.ts
+++ b/src/process/agent/leaveAgent.ts
@@ -1,10 +1,10 @@
-import { refuseWaiting } from './_lib/changeTask.js';
+import { refuseWaitingTask } from './_lib/changeTask.js';
 import { replyResult } from './_lib/replyResult.js';
 import type { AgentState } from './agentState.js';
 
 /**
- * Begins a planned stop: refuses what waits and everything that comes, and tells the entries. Running tasks
- * are finished and their answers delivered.
+ * Starts a planned stop: refuses waiting and new tasks, and notifies the entries. Running tasks are finished and
+ * their answers delivered.
  *
  * @param state - the agent's state
  * @example
@@ -14,7 +14,7 @@
   if (state.leaving) return;
   state.leaving = true;
   for (const task of [...state.waiting]) {
-    refuseWaiting(state, task, 'leaving');
+    refuseWaitingTask(state, task, 'leaving');
     replyResult(state, task.job.owner, task);
   }
   for (const peer of state.credits.keys()) {
@@ -23,7 +23,7 @@
 }
 
 /**
- * Tells whether a leaving agent has nothing left to run or to deliver.
+ * Checks whether a leaving agent has no tasks to run and no answers to deliver.
  *
  * @param state - the agent's state
  * @returns true when no task runs and every finished answer was acknowledged
--- a/src/process/agent/openEntryLink.ts
+++ b/src/process/agent/openEntryLink.ts
@@ -4,7 +4,7 @@
 import { grantCredits } from './grantCredits.js';
 
 /**
- * Starts an entry's credit anew, because its link is new. Tasks accepted over an earlier link still count.
+ * Resets an entry's credit for a new link. Tasks accepted over an earlier link still count as outstanding.
  *
  * @param state - the agent's state
  * @param peer - the entry
@@ -18,7 +18,7 @@
 }
 
 /**
- * Takes an entry's unused credits back, because its link is gone.
+ * Withdraws the unused credits of an entry whose link has closed.
  *
  * @param state - the agent's state
  * @param peer - the entry
@@ -35,7 +35,7 @@
 }
 
 /**
- * Notes how much waits in an entry.
+ * Records an entry's demand.
  *
  * @param state - the agent's state
  * @param peer - the entry
--- a/src/process/registrar/applyRegistrarConfig.ts
+++ b/src/process/registrar/applyRegistrarConfig.ts
@@ -4,8 +4,8 @@
 import type { RegistrarState } from './registrarState.js';
 
 /**
- * Takes a newer configuration into use. Claims on seats that the registrar lost are forgotten: while another
- * holds the seat they may grow stale.
+ * Applies a newer configuration. Claims on seats with a new tenure are removed, because they may be outdated once
+ * another registrar has held the seat.
  *
  * @param state - the registrar's state
  * @param config - a configuration at the same offset or a later one
@@ -14,7 +14,7 @@
  * applyRegistrarConfig(state, applyRecord(state.config, entry));
  */
 export function applyRegistrarConfig(state: RegistrarState, config: ConfigState): void {
-  assertInvariant(config.offset >= state.config.offset, 'the registrar was given an older configuration');
+  assertInvariant(config.offset >= state.config.offset, 'the new configuration is older than the one in use');
   const before = state.config;
   state.config = config;
   for (const claim of state.claims.values()) {
--- a/src/process/registrar/handleAnnounce.ts
+++ b/src/process/registrar/handleAnnounce.ts
@@ -9,7 +9,7 @@
  * @param state - the registrar's state
  * @param from - the entry
  * @param announce - one part of its announcement
- * @returns false when the registrar does not know the entry's configuration or agent sets yet; the entry repeats it
+ * @returns false if the registrar lacks the entry's configuration or agent sets, so that the entry has to resend it
  * @example
  * handleAnnounce(state, 'entry-1@a', { type: 'announce', offset: 3, claims: [], id: 1, part: 0, parts: 1 });
  */
@@ -19,19 +19,19 @@
   if (announce.claims.some((claim) => findMembers(state, from, claim) === undefined)) return false;
   for (const claim of announce.claims) recordAnnounced(state, from, claim, announce.offset);
   const before = state.announced.get(from) ?? -1;
-  if (!notePart(state, from, announce)) return true;
+  if (!recordPart(state, from, announce)) return true;
   state.announced.set(from, Math.max(before, announce.offset));
   state.outbox.push({ to: from, message: { type: 'announced', offset: announce.offset } });
   return true;
 }
 
-/** The agents that an announced claim may have used; undefined when its set has not arrived. */
+/** Returns the agents that an announced claim may have used; undefined if its agent set has not been received. */
 function findMembers(state: RegistrarState, from: string, claim: OwnedClaim): readonly string[] | undefined {
-  return claim.members.length > 0 ? claim.members : state.sets.get(`${from}/${claim.setId}`);
+  return claim.members.length > 0 ? claim.members : state.agentSets.get(`${from}/${claim.setId}`);
 }
 
-/** Notes one part, and tells whether the announcement is whole. */
-function notePart(state: RegistrarState, from: string, announce: Announce): boolean {
+/** Records one part of an announcement and returns whether all its parts have been received. */
+function recordPart(state: RegistrarState, from: string, announce: Announce): boolean {
   const { id, part, parts } = announce;
   const known = state.parts.get(from);
   if (known && known.id > id) return false;
@@ -52,7 +52,7 @@
 }
 
 /**
- * Learns the members of an agent set, to which claims refer by number.
+ * Records the members of an agent set, which claims reference by id.
  *
  * @param state - the registrar's state
  * @param from - the entry
@@ -61,11 +61,11 @@
  * handleAgentSet(state, 'entry-1@a', { type: 'agentSet', setId: 1, members: ['agent-1@a'] });
  */
 export function handleAgentSet(state: RegistrarState, from: string, set: AgentSet): void {
-  state.sets.set(`${from}/${set.setId}`, set.members);
+  state.agentSets.set(`${from}/${set.setId}`, set.members);
 }
 
 /**
- * Notes that the log, or a majority of the registrars, was heard.
+ * Renews the lease after the log was read or a majority of the registrars was confirmed.
  *
  * @param state - the registrar's state
  * @param now - ms since the epoch
@@ -73,15 +73,15 @@
  * renewLease(state, Date.now());
  */
 export function renewLease(state: RegistrarState, now: number): void {
-  state.heardAt = Math.max(state.heardAt, now);
+  state.leaseRenewedAt = Math.max(state.leaseRenewedAt, now);
 }
 
 /**
- * Forgets claims past the horizon, and the agent sets that no claim uses any more.
+ * Removes claims past the horizon, and the agent sets of entries that are no longer members.
  *
  * @param state - the registrar's state
  * @param now - ms since the epoch
- * @returns how many claims were forgotten
+ * @returns number of removed claims
  * @example
  * expireClaims(state, Date.now());
  */
@@ -93,8 +93,8 @@
     expired += 1;
   }
   const live = new Set(state.config.entries.map((entry) => entry.peer));
-  for (const key of state.sets.keys()) {
-    if (!live.has(key.slice(0, key.lastIndexOf('/')))) state.sets.delete(key);
+  for (const key of state.agentSets.keys()) {
+    if (!live.has(key.slice(0, key.lastIndexOf('/')))) state.agentSets.delete(key);
   }
   return expired;
 }
--- a/src/process/registrar/handleClaim.test.ts
+++ b/src/process/registrar/handleClaim.test.ts
@@ -31,7 +31,7 @@
   }
 }
 
-/** A registrar that holds all seats and knows two entries that joined after it. */
+/** Creates a registrar that holds all seats, and two entries that joined after it. */
 function buildRegistrar(): RegistrarState {
   const state = createRegistrarState(SELF, DEFAULT_REGISTRAR_LIMITS, createConfigState());
   applyRecords(state, join('registrar', SELF), join('entry', FIRST), join('entry', SECOND));
@@ -57,14 +57,14 @@
 }
 
 describe('handleClaim', () => {
-  it('grants a key to the first entry and names it to the second', () => {
+  it('grants a key to the first entry and reports that owner to the second', () => {
     const state = buildRegistrar();
     const granted = claim(state, FIRST);
     expect(granted).to.include({ outcome: 'granted' });
     expect(claim(state, SECOND)).to.deep.include({ outcome: 'owned', owner: FIRST, epoch: granted.epoch });
   });
 
-  it('lets one of two racing takeovers win, with a higher epoch and every agent to ask', () => {
+  it('grants one of two concurrent takeovers, with a higher epoch and the agents of both entries', () => {
     const state = buildRegistrar();
     const { epoch } = claim(state, FIRST);
     const won = claim(state, SECOND, { mode: 'takeover', expected: epoch });
@@ -76,19 +76,19 @@
     });
   });
 
-  it('tells a lookup that nobody claimed, without claiming', () => {
+  it('answers a lookup of an unclaimed key with none, without claiming it', () => {
     const state = buildRegistrar();
     expect(claim(state, FIRST, { mode: 'lookup' }).outcome).to.equal('none');
     expect(claim(state, SECOND).outcome).to.equal('granted');
   });
 
-  it('denies when it has heard neither the log nor a majority within its lease', () => {
+  it('denies claims once its lease has expired', () => {
     const state = buildRegistrar();
-    state.heardAt = NOW - DEFAULT_REGISTRAR_LIMITS.leaseMs - 1;
+    state.leaseRenewedAt = NOW - DEFAULT_REGISTRAR_LIMITS.leaseMs - 1;
     expect(claim(state, FIRST).outcome).to.equal('denied');
   });
 
-  it('waits with a new seat until every older entry has announced, then knows its claims', () => {
+  it('answers pending for a new seat until every older entry has announced its claims', () => {
     const state = createRegistrarState(SELF, DEFAULT_REGISTRAR_LIMITS, createConfigState());
     applyRecords(state, join('entry', FIRST), join('registrar', SELF), join('entry', SECOND));
     renewLease(state, NOW);
@@ -106,7 +106,7 @@
     expect(claim(state, SECOND)).to.include({ outcome: 'owned', owner: FIRST });
   });
 
-  it('grants no more under an announced claim that a lost entry may have taken over', () => {
+  it('answers unknown to the owner of an announced claim that a lost entry may have taken over', () => {
     const state = createRegistrarState(SELF, DEFAULT_REGISTRAR_LIMITS, createConfigState());
     const gone: LogRecord = { type: 'leave', id: 'gone', peer: SECOND };
     applyRecords(state, join('entry', FIRST), join('entry', SECOND), join('registrar', SELF), gone);
@@ -125,7 +125,7 @@
       expect(claim(state, FIRST, { mode }).outcome).to.equal('unknown');
   });
 
-  it('counts an announcement only when all its parts have arrived', () => {
+  it('accepts an announcement only after all its parts have arrived', () => {
     const state = createRegistrarState(SELF, DEFAULT_REGISTRAR_LIMITS, createConfigState());
     applyRecords(state, join('entry', FIRST), join('registrar', SELF), join('entry', SECOND));
     renewLease(state, NOW);
@@ -140,7 +140,7 @@
     expect(claim(state, SECOND).outcome).to.equal('granted');
   });
 
-  it('does not record claims of an agent set that it was not told', () => {
+  it('does not record claims that reference an unknown agent set', () => {
     const state = createRegistrarState(SELF, DEFAULT_REGISTRAR_LIMITS, createConfigState());
     applyRecords(state, join('entry', FIRST), join('registrar', SELF));
     const epoch = { version: 0, counter: 4 };
@@ -152,7 +152,7 @@
     expect(state.claims.get('job-1')?.members).to.deep.equal(['m']);
   });
 
-  it('does not run an old key whose entry was removed before it announced', () => {
+  it('answers unknown for an old key if an entry was removed before it announced its claims', () => {
     const state = createRegistrarState(SELF, DEFAULT_REGISTRAR_LIMITS, createConfigState());
     const gone: LogRecord = { type: 'leave', id: 'gone', peer: FIRST };
     applyRecords(state, join('entry', FIRST), join('registrar', SELF), gone, join('entry', SECOND));
--- a/src/process/registrar/handleClaim.ts
+++ b/src/process/registrar/handleClaim.ts
@@ -5,12 +5,12 @@
 import { findSeat } from '../../version/findSeat.js';
 import type { ClaimRecord, RegistrarState } from './registrarState.js';
 
-/** Epoch, owner, members and digest of an answer that names no claim. */
+/** Fields of a reply that does not refer to a recorded claim. */
 const NO_CLAIM = { epoch: NO_EPOCH, owner: '', members: [] as readonly string[], digest: '' };
 
 /**
- * Answers one claim. The first entry to claim a key owns it; another learns the owner, and may take the job
- * over by naming the epoch it wants to end.
+ * Handles a claim. The first entry to claim a key owns it. Any other entry receives the owner, and may take the
+ * job over by sending the epoch that it expects to replace.
  *
  * @param state - the registrar's state
  * @param from - the entry
@@ -21,37 +21,37 @@
  */
 export function handleClaim(state: RegistrarState, from: string, claim: Claim, now: number): void {
   const tenure = state.config.seats[findSeat(claim.job)];
-  const obstacle = findObstacle(state, from, claim, tenure, now);
-  if (obstacle) return reply(state, from, claim, obstacle);
+  const blockingOutcome = findBlockingOutcome(state, from, claim, tenure, now);
+  if (blockingOutcome) return reply(state, from, claim, blockingOutcome);
   const record = state.claims.get(claim.job);
-  if (record) return answerKnown(state, from, claim, record, tenure as SeatTenure);
-  if (claim.createdAt < findKnownFrom(state, tenure as SeatTenure))
+  if (record) return replyToKnownClaim(state, from, claim, record, tenure as SeatTenure);
+  if (claim.createdAt < findHistoryStart(state, tenure as SeatTenure))
     return reply(state, from, claim, 'unknown');
   if (claim.createdAt + state.limits.horizonMs < now) return reply(state, from, claim, 'unknown');
   if (claim.mode === 'lookup') return reply(state, from, claim, 'none');
   if (state.claims.size >= state.limits.maxClaims) return reply(state, from, claim, 'denied');
-  grantNew(state, from, claim, (tenure as SeatTenure).sinceOffset);
+  grantNewClaim(state, from, claim, (tenure as SeatTenure).sinceOffset);
 }
 
 /**
- * Finds the oldest creation time of keys that nobody can have claimed without this registrar knowing it.
- * Only entries that were removed before they announced their claims for the tenure make it later than 0.
+ * Finds the time from which the claim history of a seat is complete: keys created later cannot have been claimed
+ * unless this registrar has the claim. It is 0 unless an entry was removed before it announced its claims.
  *
  * @param state - the registrar's state
  * @param tenure - the seat's tenure
  * @returns ms since the epoch
  */
-export function findKnownFrom(state: RegistrarState, tenure: SeatTenure): number {
-  let knownFrom = 0;
+export function findHistoryStart(state: RegistrarState, tenure: SeatTenure): number {
+  let historyStart = 0;
   for (const removed of state.config.removedEntries) {
     if (removed.joinedOffset > tenure.sinceOffset) continue;
     if ((state.announced.get(removed.peer) ?? -1) >= tenure.sinceOffset) continue;
-    knownFrom = Math.max(knownFrom, removed.at + state.limits.leaseMs + 2 * state.limits.skewMs);
+    historyStart = Math.max(historyStart, removed.at + state.limits.leaseMs + 2 * state.limits.skewMs);
   }
-  return knownFrom;
+  return historyStart;
 }
 
-function findObstacle(
+function findBlockingOutcome(
   state: RegistrarState,
   from: string,
   claim: Claim,
@@ -60,14 +60,14 @@
 ): ClaimOutcome | undefined {
   if (claim.offset > state.config.offset) return 'pending';
   if (tenure?.peer !== state.peer) return 'pending';
-  if (state.heardAt + state.limits.leaseMs < now) return 'denied';
+  if (state.leaseRenewedAt + state.limits.leaseMs < now) return 'denied';
   if (!state.config.entries.some((entry) => entry.peer === from)) return 'denied';
   if (!isTenureComplete(state, tenure)) return 'pending';
-  if (claim.mode !== 'lookup' && !state.sets.has(`${from}/${claim.setId}`)) return 'pending';
+  if (claim.mode !== 'lookup' && !state.agentSets.has(`${from}/${claim.setId}`)) return 'pending';
   return undefined;
 }
 
-/** A seat is complete once every entry older than the tenure has announced its claims. */
+/** Checks whether every entry that joined before the tenure has announced its claims. */
 function isTenureComplete(state: RegistrarState, tenure: SeatTenure): boolean {
   return state.config.entries.every((entry) => {
     if (entry.joinedOffset > tenure.sinceOffset) return true;
@@ -75,7 +75,7 @@
   });
 }
 
-function answerKnown(
+function replyToKnownClaim(
   state: RegistrarState,
   from: string,
   claim: Claim,
@@ -83,9 +83,9 @@
   tenure: SeatTenure,
 ): void {
   if (record.digest !== claim.digest) return replyRecord(state, from, claim, 'owned', record);
-  // A later owner that is gone may have taken the job over where this registrar could not see it. Then neither
-  // the owner that announced it nor anybody else may start more of it.
-  const stale = record.announced && record.createdAt < findKnownFrom(state, tenure);
+  // An entry that was removed before it announced its claims may have taken the job over. No further task of the
+  // job may be started then, neither by the announcing owner nor by a takeover.
+  const stale = record.announced && record.createdAt < findHistoryStart(state, tenure);
   if (stale && (record.owner === from || claim.mode === 'takeover'))
     return reply(state, from, claim, 'unknown');
   if (claim.mode === 'takeover' && compareEpochs(claim.expected, record.epoch) === 0) {
@@ -94,7 +94,7 @@
   if (record.owner !== from || claim.mode === 'takeover')
     return replyRecord(state, from, claim, 'owned', record);
   if (claim.mode !== 'lookup') widenMembers(state, from, claim, record);
-  // The owner asks again: nothing was started under an answer it did not receive.
+  // A repeated claim of the owner: it cannot have started tasks under a reply that it did not receive.
   replyRecord(state, from, claim, 'granted', record);
 }
 
@@ -114,18 +114,18 @@
   replyRecord(state, from, claim, 'granted', record);
 }
 
-function grantNew(state: RegistrarState, from: string, claim: Claim, version: number): void {
+function grantNewClaim(state: RegistrarState, from: string, claim: Claim, version: number): void {
   const { job, createdAt, digest } = claim;
-  const members = state.sets.get(`${from}/${claim.setId}`) as readonly string[];
+  const members = state.agentSets.get(`${from}/${claim.setId}`) as readonly string[];
   const epoch = nextEpoch(state, version);
   const record: ClaimRecord = { job, createdAt, digest, owner: from, epoch, members, announced: false };
   state.claims.set(job, record);
-  // A fresh key has no earlier owner whose agents would have to be asked.
+  // A new key has no earlier owner, so there are no agents to sweep.
   replyRecord(state, from, claim, 'granted', { ...record, members: [] });
 }
 
 function widenMembers(state: RegistrarState, from: string, claim: Claim, record: ClaimRecord): void {
-  const added = state.sets.get(`${from}/${claim.setId}`);
+  const added = state.agentSets.get(`${from}/${claim.setId}`);
   if (!added || added === record.members) return;
   record.members = [...new Set([...record.members, ...added])];
 }
--- a/src/process/registrar/registrarState.ts
+++ b/src/process/registrar/registrarState.ts
@@ -1,20 +1,20 @@
-/** What a registrar knows: who claimed which job key, on the seats that the configuration gives it. */
+/** State of a registrar: the claims on job keys of the seats that the configuration assigns to it. */
 import type { Epoch, Message } from '../../connection/messages.js';
 import type { ConfigState } from '../../version/configState.js';
 
-/** Bounds of a registrar. */
+/** Limits of a registrar. */
 export interface RegistrarLimits {
-  /** How long a claim is kept after the key's creation, in ms. */
+  /** How long a claim is kept after its key's creation, ms. */
   readonly horizonMs: number;
-  /** Largest difference between two clocks, in ms. */
+  /** Largest assumed difference between two clocks, ms. */
   readonly skewMs: number;
-  /** How long the registrar claims on without hearing the log or a majority of the registrars, in ms. */
+  /** How long the registrar may answer claims after its lease was last renewed, ms. */
   readonly leaseMs: number;
-  /** Most claims held; past it new keys are denied. */
+  /** Largest number of held claims; at it new keys are denied. */
   readonly maxClaims: number;
 }
 
-/** Limits that the daemons start with. */
+/** Default limits. */
 export const DEFAULT_REGISTRAR_LIMITS: RegistrarLimits = {
   horizonMs: 120_000,
   skewMs: 1_000,
@@ -22,20 +22,20 @@
   maxClaims: 200_000,
 };
 
-/** Who owns a job, and which agents its owners may have used. */
+/** The owner of a job and the agents that its owners may have used. */
 export interface ClaimRecord {
   readonly job: string;
   readonly createdAt: number;
   readonly digest: string;
   owner: string;
   epoch: Epoch;
-  /** True until this registrar itself grants the job: it learned the claim from its owner. */
+  /** True while the claim is known only from its owner's announcement and was not granted by this registrar. */
   announced: boolean;
-  /** Agent incarnations of every set the job was claimed or widened with. */
+  /** Agent incarnations of all sets that the job was claimed, widened or taken over with. */
   members: readonly string[];
 }
 
-/** How much of an announcement has arrived. */
+/** The parts of an announcement received so far. */
 export interface AnnouncedParts {
   readonly id: number;
   readonly recorded: Set<number>;
@@ -46,26 +46,26 @@
   readonly peer: string;
   readonly limits: RegistrarLimits;
   readonly claims: Map<string, ClaimRecord>;
-  /** Agent sets by `entry/setId`. */
-  readonly sets: Map<string, readonly string[]>;
-  /** Offset of each entry's last complete announcement. */
+  /** Members of agent sets by `entry/setId`. */
+  readonly agentSets: Map<string, readonly string[]>;
+  /** Configuration offset of each entry's newest complete announcement. */
   readonly announced: Map<string, number>;
-  /** Parts of each entry's newest announcement that have been recorded. */
+  /** Received parts of each entry's newest announcement. */
   readonly parts: Map<string, AnnouncedParts>;
   config: ConfigState;
   /** Counter of the last granted epoch. */
   counter: number;
-  /** When the log or a majority was last heard, ms since the epoch. */
-  heardAt: number;
+  /** When the log was last read or a majority of the registrars confirmed, ms since the epoch. */
+  leaseRenewedAt: number;
   leaving: boolean;
   outbox: { readonly to: string; readonly message: Message }[];
 }
 
 /**
- * Creates the state of a registrar that holds no claim.
+ * Creates the state of a registrar without claims.
  *
  * @param peer - `id@incarnation` of the process
- * @param limits - its bounds
+ * @param limits - its limits
  * @param config - the configuration it starts from
  * @returns the state
  * @example
@@ -80,12 +80,12 @@
     peer,
     limits,
     claims: new Map(),
-    sets: new Map(),
+    agentSets: new Map(),
     announced: new Map(),
     parts: new Map(),
     config,
     counter: 0,
-    heardAt: Number.NEGATIVE_INFINITY,
+    leaseRenewedAt: Number.NEGATIVE_INFINITY,
     leaving: false,
     outbox: [],
   };
