--- a/src/process/agent/grantCredits.ts
+++ b/src/process/agent/grantCredits.ts
@@ -29,7 +29,7 @@
  *
  * @param state - the agent's state, whose outbox receives the messages
  * @example
- * tellCredits(state);
+ * sendCredits(state);
  */
 export function sendCredits(state: AgentState): void {
   for (const credit of state.credits.values()) {
--- a/src/process/agent/runWaitingTasks.ts
+++ b/src/process/agent/runWaitingTasks.ts
@@ -9,7 +9,7 @@
  * @param state - the agent's state; its outbox receives a `run` effect for each start
  * @param now - ms since the epoch
  * @example
- * runWaiting(state, Date.now());
+ * runWaitingTasks(state, Date.now());
  */
 export function runWaitingTasks(state: AgentState, now: number): void {
   while (state.running < state.limits.slots) {
--- a/src/process/entry/EntryNode.ts
+++ b/src/process/entry/EntryNode.ts
@@ -30,7 +30,7 @@
 /**
  * Share of `removeAfterMs`, counted from the loss of a member, after which a message from a majority of the
  * registrars shows that this entry is not isolated. The links cut by one network partition may fail up to half
- * of that time apart; heartbeats arrive within the other half.
+ * of `removeAfterMs` apart; heartbeats arrive within the other half.
  */
 const REMOVAL_CONTACT_SHARE = 0.5;
 
@@ -275,7 +275,7 @@
   }
 
   private buildHeartbeat(reply: boolean, now = this.heartbeatAt): Heartbeat {
-    const { config, peers, limits, logReadAt: logReadAt } = this.state;
+    const { config, peers, limits, logReadAt } = this.state;
     const reachable = config.registrars.filter(
       ({ peer }) => (peers.get(peer)?.lastReceivedAt ?? -Infinity) + limits.leaseMs > now,
     );
@@ -322,7 +322,7 @@
    * another. When no registrar is connected, all of them are assumed to have failed.
    */
   private mayBeIsolatedSince(since: number): boolean {
-    const { config, peers, majorityReceivedAt: majorityReceivedAt } = this.state;
+    const { config, peers, majorityReceivedAt } = this.state;
     if (config.registrars.length <= 1) return false;
     if (!config.registrars.some(({ peer }) => peers.get(peer)?.connected)) return false;
     return majorityReceivedAt - since < this.membership.removeAfterMs * REMOVAL_CONTACT_SHARE;
