--- a/src/process/entry/EntryNode.test.ts
+++ b/src/process/entry/EntryNode.test.ts
@@ -36,7 +36,7 @@
 type StartedTask = Pick<Start, 'job' | 'epoch' | 'index' | 'attempt'>;
 
 /** An entry with one linked agent, which is also the registrar. */
-class Bench {
+class EntryFixture {
   readonly node: EntryNode;
   readonly answers = new Map<string, JobAnswer>();
   sent: Message[] = [];
@@ -62,7 +62,7 @@
     const hello: Hello = { type: 'hello', peer: AGENT, role: 'agent', ...place };
     this.node.openLink(hello, NOW);
     this.node.receive(AGENT, { type: 'credit', granted: credits }, NOW);
-    this.settle(NOW);
+    this.applyEffects(NOW);
   }
 
   submit(job: string, kindName: string, tasks: number, caller: string, body = '1', now = NOW): void {
@@ -70,10 +70,10 @@
     const base = { createdAt: NOW, event: 'opening', deadlineMs: undefined, caller: '', team: '' };
     const request: JobRequest = { job, tasks: list, ...base };
     this.node.submit(request, caller, now);
-    this.settle(now);
+    this.applyEffects(now);
   }
 
-  settle(now: number): void {
+  applyEffects(now: number): void {
     this.sent = [];
     for (const effect of this.node.takeEffects(now)) {
       if (effect.type === 'send') this.sent.push(effect.message);
@@ -98,27 +98,27 @@
       ...changes,
     };
     this.node.receive(AGENT, claimed, now);
-    this.settle(now);
+    this.applyEffects(now);
   }
 
   answerStart(start: StartedTask, body: string, granted: number): void {
     const { job, epoch, index, attempt } = start;
     const result = { state: 'finished', status: 200, body, reason: '', granted, workMs: 100 };
     this.node.receive(AGENT, { type: 'result', job, epoch, index, attempt, ...result }, NOW);
-    this.settle(NOW);
+    this.applyEffects(NOW);
   }
 }
 
 describe('EntryNode', () => {
   it('claims a job before starting its tasks and returns the answers in task order', () => {
-    const bench = new Bench(4);
-    bench.submit('job-1', 'quote', 2, 'c1');
-    expect(bench.find('start')).to.be.empty;
-    bench.answerClaim();
-    const starts = bench.find('start');
+    const fixture = new EntryFixture(4);
+    fixture.submit('job-1', 'quote', 2, 'c1');
+    expect(fixture.find('start')).to.be.empty;
+    fixture.answerClaim();
+    const starts = fixture.find('start');
     expect(starts).to.have.length(2);
-    for (const start of [...starts].reverse()) bench.answerStart(start, `"${start.index}"`, 6);
-    const answer = bench.answers.get('c1');
+    for (const start of [...starts].reverse()) fixture.answerStart(start, `"${start.index}"`, 6);
+    const answer = fixture.answers.get('c1');
     expect(answer?.outcome === 'complete' && answer.answers.map(({ body }) => body)).to.deep.equal([
       '"0"',
       '"1"',
@@ -126,80 +126,80 @@
   });
 
   it('attaches a repeated submission to the first and reports a conflict for other contents under its key', () => {
-    const bench = new Bench(4);
-    bench.submit('job-1', 'quote', 1, 'c1');
-    bench.answerClaim();
-    const [start] = bench.find('start');
-    bench.submit('job-1', 'quote', 1, 'c2');
-    bench.submit('job-1', 'quote', 1, 'c3', '2');
-    expect(bench.answers.get('c3')).to.deep.equal({ outcome: 'conflict', differs: ['bodies of tasks'] });
-    bench.answerStart(start as Start, '"x"', 5);
-    expect(bench.answers.get('c1')).to.deep.equal(bench.answers.get('c2'));
-    expect(bench.answers.get('c2')?.outcome).to.equal('complete');
+    const fixture = new EntryFixture(4);
+    fixture.submit('job-1', 'quote', 1, 'c1');
+    fixture.answerClaim();
+    const [start] = fixture.find('start');
+    fixture.submit('job-1', 'quote', 1, 'c2');
+    fixture.submit('job-1', 'quote', 1, 'c3', '2');
+    expect(fixture.answers.get('c3')).to.deep.equal({ outcome: 'conflict', differs: ['bodies of tasks'] });
+    fixture.answerStart(start as Start, '"x"', 5);
+    expect(fixture.answers.get('c1')).to.deep.equal(fixture.answers.get('c2'));
+    expect(fixture.answers.get('c2')?.outcome).to.equal('complete');
   });
 
   it('sweeps the members of an earlier grant and starts nothing until all have answered', () => {
-    const bench = new Bench(4);
-    bench.submit('job-1', 'quote', 2, 'c1');
-    bench.answerClaim({ members: [AGENT] });
-    expect(bench.find('start')).to.be.empty;
-    const [sweep] = bench.find('sweep');
+    const fixture = new EntryFixture(4);
+    fixture.submit('job-1', 'quote', 2, 'c1');
+    fixture.answerClaim({ members: [AGENT] });
+    expect(fixture.find('start')).to.be.empty;
+    const [sweep] = fixture.find('sweep');
     const found = { index: 1, attempt: 1, state: 'finished', status: 200, body: '"old"', hasBody: true };
     const epoch = sweep?.epoch ?? NO_EPOCH;
-    bench.node.receive(AGENT, { type: 'swept', job: 'job-1', epoch, fenced: false, tasks: [found] }, NOW);
-    bench.settle(NOW);
-    expect(bench.find('start').map(({ index }) => index)).to.deep.equal([0]);
+    fixture.node.receive(AGENT, { type: 'swept', job: 'job-1', epoch, fenced: false, tasks: [found] }, NOW);
+    fixture.applyEffects(NOW);
+    expect(fixture.find('start').map(({ index }) => index)).to.deep.equal([0]);
   });
 
   it('starts the more urgent job first when a credit is returned', () => {
-    const bench = new Bench(1);
+    const fixture = new EntryFixture(1);
     for (const [job, name] of [
       ['job-1', 'ping'],
       ['job-2', 'ping'],
       ['job-3', 'quote'],
     ] as const) {
-      bench.submit(job, name, 1, job);
-      bench.answerClaim();
+      fixture.submit(job, name, 1, job);
+      fixture.answerClaim();
     }
-    const epoch = bench.node.state.jobs.get('job-1')?.epoch ?? NO_EPOCH;
-    bench.answerStart({ job: 'job-1', epoch, index: 0, attempt: 1 }, '1', 2);
-    expect(bench.find('start').map(({ job: key }) => key)).to.deep.equal(['job-3']);
+    const epoch = fixture.node.state.jobs.get('job-1')?.epoch ?? NO_EPOCH;
+    fixture.answerStart({ job: 'job-1', epoch, index: 0, attempt: 1 }, '1', 2);
+    expect(fixture.find('start').map(({ job: key }) => key)).to.deep.equal(['job-3']);
   });
 
   it('refuses a waiting job predicted to be late after a lookup confirms that it still owns the job', () => {
-    const bench = new Bench(1);
-    bench.submit('job-1', 'ping', 1, 'c1');
-    bench.answerClaim();
-    bench.submit('job-2', 'ping', 1, 'c2');
-    bench.answerClaim();
-    const granted = bench.node.state.jobs.get('job-2')?.epoch;
+    const fixture = new EntryFixture(1);
+    fixture.submit('job-1', 'ping', 1, 'c1');
+    fixture.answerClaim();
+    fixture.submit('job-2', 'ping', 1, 'c2');
+    fixture.answerClaim();
+    const granted = fixture.node.state.jobs.get('job-2')?.epoch;
     const late = NOW + 9_950;
-    bench.node.followLog([], late);
-    bench.node.tick(late);
-    bench.settle(late);
-    expect(bench.find('claim').at(-1)).to.include({ mode: 'lookup', job: 'job-2' });
-    bench.answerClaim({ epoch: granted ?? NO_EPOCH }, late);
-    expect(bench.answers.get('c2')).to.include({ outcome: 'refused', reason: 'predicted-late' });
+    fixture.node.followLog([], late);
+    fixture.node.tick(late);
+    fixture.applyEffects(late);
+    expect(fixture.find('claim').at(-1)).to.include({ mode: 'lookup', job: 'job-2' });
+    fixture.answerClaim({ epoch: granted ?? NO_EPOCH }, late);
+    expect(fixture.answers.get('c2')).to.include({ outcome: 'refused', reason: 'predicted-late' });
   });
 
   it('starts no tasks in an emptied failure domain until the domain is restored', () => {
-    const bench = new Bench(4);
+    const fixture = new EntryFixture(4);
     const log = (offset: number, isEmptied: boolean): void => {
       const record: LogRecord = { type: 'domain', id: `d${offset}`, failureDomain: 'd', isEmptied };
-      bench.node.followLog([{ offset, at: NOW, record }], NOW);
-      bench.settle(NOW);
+      fixture.node.followLog([{ offset, at: NOW, record }], NOW);
+      fixture.applyEffects(NOW);
     };
     log(RECORDS.length, true);
-    bench.submit('job-1', 'quote', 1, 'c1');
-    bench.answerClaim();
-    expect(bench.find('start')).to.be.empty;
+    fixture.submit('job-1', 'quote', 1, 'c1');
+    fixture.answerClaim();
+    expect(fixture.find('start')).to.be.empty;
     log(RECORDS.length + 1, false);
-    expect(bench.find('start')).to.have.length(1);
+    expect(fixture.find('start')).to.have.length(1);
   });
 
   it('claims nothing without a lease', () => {
-    const bench = new Bench(1);
-    bench.submit('job-1', 'ping', 1, 'c1', '1', NOW + DEFAULT_ENTRY_LIMITS.leaseMs + 1);
-    expect(bench.find('claim')).to.be.empty;
+    const fixture = new EntryFixture(1);
+    fixture.submit('job-1', 'ping', 1, 'c1', '1', NOW + DEFAULT_ENTRY_LIMITS.leaseMs + 1);
+    expect(fixture.find('claim')).to.be.empty;
   });
 });
