--- a/bench/low.ts
+++ b/bench/low.ts
@@ -4,7 +4,7 @@
 
 import { Pool } from 'undici';
 
-import { describe } from '../src/load/buildReport.js';
+import { buildDistribution } from '../src/load/buildReport.js';
 import { ProcessCluster } from './ProcessCluster.js';
 import { buildCallerJob, submitUntilAnswered } from './resubmittingCaller.js';
 
@@ -43,14 +43,14 @@
       through.push(throughMs);
       direct.push(directMs);
     }
-    const added = describe(through).p50 - describe(direct).p50;
-    const addedP99 = describe(through).p99 - describe(direct).p99;
+    const added = buildDistribution(through).p50 - buildDistribution(direct).p50;
+    const addedP99 = buildDistribution(through).p99 - buildDistribution(direct).p99;
     const round = (value: number): number => Number(value.toFixed(2));
     console.log(
       JSON.stringify({
         pairs,
-        through: describe(through),
-        direct: describe(direct),
+        through: buildDistribution(through),
+        direct: buildDistribution(direct),
         addedP50Ms: round(added),
         addedP99Ms: round(addedP99),
       }),
--- a/src/bin/commands/check.ts
+++ b/src/bin/commands/check.ts
@@ -12,7 +12,7 @@
   readonly role?: string;
 }
 
-/** Roles whose settings can be checked; the first two are those of the platform. */
+/** Roles whose settings can be checked. */
 const ROLES: readonly (Role | 'dispatcher' | 'executor')[] = [
   'dispatcher',
   'executor',
@@ -23,31 +23,34 @@
 ];
 
 /**
- * Adds `check`.
+ * Adds the `check` command.
  *
  * @param cli - the command line
  */
 export function addCheckCommand(cli: CAC): void {
   cli
-    .command('check <...files>', 'Check settings files and report every finding with file and pointer')
-    .option('--role <role>', `${ROLES.join(' | ')}; by default told from the file's name`)
+    .command(
+      'check <...files>',
+      'Check settings files and report every finding with its file and JSON pointer',
+    )
+    .option('--role <role>', `${ROLES.join(' | ')}; by default derived from the file name`)
     .action(async (files: string[], { role }: CheckFlags) => {
       const findings = await Promise.all(files.map((file) => checkFile(file, role)));
       const lines = findings.flat();
       for (const line of lines) console.log(line);
       if (lines.length > 0) process.exitCode = EXIT_FAILED;
-      else console.log(`${files.length} checked, no findings`);
+      else console.log(`${files.length} files checked, no findings`);
     });
 }
 
-async function checkFile(file: string, given: string | undefined): Promise<string[]> {
-  const role = ROLES.find((one) => (given === undefined ? file.includes(one) : one === given));
-  if (!role) throw new SettingsError(`${file}: say --role ${ROLES.join(' | ')}`);
+async function checkFile(file: string, roleFlag: string | undefined): Promise<string[]> {
+  const role = ROLES.find((name) => (roleFlag === undefined ? file.includes(name) : name === roleFlag));
+  if (!role) throw new SettingsError(`${file}: unknown role, specify --role ${ROLES.join(' | ')}`);
   let input: unknown;
   try {
     input = JSON.parse(await readFile(file, 'utf8'));
   } catch (error) {
-    return [`${file}#/: ${error instanceof Error ? error.message : 'is not readable'}`];
+    return [`${file}#/: ${error instanceof Error ? error.message : 'cannot be read'}`];
   }
   const isPlatform = role === 'dispatcher' || role === 'executor';
   const check = isPlatform ? checkDispatchSettings(input) : checkSettings(role, input);
--- a/src/bin/commands/daemons.ts
+++ b/src/bin/commands/daemons.ts
@@ -9,13 +9,13 @@
 }
 
 /**
- * Adds `entry` and `agent`.
+ * Adds the `entry` and `agent` commands.
  *
  * @param cli - the command line
  */
 export function addDaemonCommands(cli: CAC): void {
   cli
-    .command('entry', 'Run an entry: takes jobs over HTTP and coordinates them')
+    .command('entry', 'Run an entry, which accepts jobs over HTTP and coordinates them')
     .option('--settings <file>', 'settings file (JSON)')
     .example(() => describeSettings('entry'))
     .action(async ({ settings }: DaemonFlags) => {
@@ -25,7 +25,7 @@
       await runUntilSignal([entry]);
     });
   cli
-    .command('agent', 'Run an agent: the one way to the upstream beside it')
+    .command('agent', 'Run an agent, which runs tasks on the upstream of its VM')
     .option('--settings <file>', 'settings file (JSON)')
     .example(() => describeSettings('agent'))
     .action(async ({ settings }: DaemonFlags) => {
--- a/src/bin/commands/explain.ts
+++ b/src/bin/commands/explain.ts
@@ -5,13 +5,16 @@
 import { readLogFiles } from '../readLogFiles.js';
 
 /**
- * Adds `explain`.
+ * Adds the `explain` command.
  *
  * @param cli - the command line
  */
 export function addExplainCommand(cli: CAC): void {
   cli
-    .command('explain <job> <...files>', 'Put the log lines of a job in order and name the cause of its end')
+    .command(
+      'explain <job> <...files>',
+      'Print the log lines of a job in chronological order and the cause of its outcome',
+    )
     .action(async (job: string, files: string[]) => {
       const explanation = explainJob(String(job), await readLogFiles(files));
       for (const { time, process, event, fields } of explanation.lines) {
--- a/src/bin/commands/load.ts
+++ b/src/bin/commands/load.ts
@@ -26,31 +26,35 @@
 }
 
 /**
- * Adds `load`.
+ * Adds the `load` command.
  *
  * @param cli - the command line
  */
 export function addLoadCommand(cli: CAC): void {
   cli
-    .command('load', 'Send a workload to an embedded cluster and compare policies with the ideal')
+    .command('load', 'Run a workload on an embedded cluster and compare policies with the ideal schedule')
     .option('--profile <name>', Object.keys(PROFILES).join(' | '), { default: 'timber-exchange' })
     .option('--shape <shape>', 'burst | steady | low', { default: 'burst' })
-    .option('--seed <number>', 'seed of the plan; each round adds one', { default: 1 })
-    .option('--seconds <number>', 'work, in seconds of all slots', { default: 10 })
-    .option('--utilization <share>', 'steady: work that arrives over capacity', { default: 0.7 })
-    .option('--policies <names>', `compared in turn: ${Object.keys(POLICIES).join(', ')}`, {
-      default: 'product',
-    })
-    .option('--rounds <number>', 'how often each policy runs', { default: 1 })
-    .option('--entries <number>', 'entries', { default: 2 })
-    .option('--agents <number>', 'agents', { default: 11 })
-    .option('--slots <number>', 'slots of an agent', { default: 8 })
-    .option('--deadline-ms <number>', "deadline of every job instead of its kind's, ms")
-    .option('--json <file>', 'write the reports')
-    .option('--html <file>', 'write a page with the distributions side by side')
+    .option('--seed <number>', 'seed of the plan, incremented in each round', { default: 1 })
+    .option('--seconds <number>', 'amount of work, in seconds of all slots', { default: 10 })
+    .option('--utilization <share>', 'steady: arriving work relative to capacity', { default: 0.7 })
+    .option(
+      '--policies <names>',
+      `policies to compare, separated by commas: ${Object.keys(POLICIES).join(', ')}`,
+      {
+        default: 'product',
+      },
+    )
+    .option('--rounds <number>', 'number of runs of each policy', { default: 1 })
+    .option('--entries <number>', 'number of entries', { default: 2 })
+    .option('--agents <number>', 'number of agents', { default: 11 })
+    .option('--slots <number>', 'number of slots of each agent', { default: 8 })
+    .option('--deadline-ms <number>', 'deadline of every job, overrides those of the kinds, ms')
+    .option('--json <file>', 'write the reports as JSON')
+    .option('--html <file>', 'write an HTML page that compares the distributions')
     .action(async (flags: LoadFlags) => {
       const profile = PROFILES[flags.profile as ProfileName];
-      if (!profile) throw new SettingsError(`no profile "${flags.profile}"`);
+      if (!profile) throw new SettingsError(`unknown profile "${flags.profile}"`);
       const { runEmbedded } = await import('../../load/runEmbedded.js');
       const { renderReport } = await import('../../load/renderReport.js');
       const reports: LoadReport[] = [];
--- a/src/bin/commands/local.ts
+++ b/src/bin/commands/local.ts
@@ -11,7 +11,7 @@
 }
 
 /**
- * Adds `local`.
+ * Adds the `local` command.
  *
  * @param cli - the command line
  */
@@ -41,7 +41,7 @@
   const job = JSON.stringify({ job: 'my-first-job', createdAt: 0, event: 'opening', tasks });
   const body = job.replace('"createdAt":0', `"createdAt":'$(date +%s000)'`);
   console.log(`marblehall is ready at ${url}\n`);
-  console.log(`Send it a job:\n  curl -s ${url}/v1/jobs -d '${body}'\n`);
-  console.log(`Ask it what it does:\n  npx marblehall query "list agents" --entry ${url}\n`);
-  console.log(`Commands need the secret ${LOCAL_SECRET}.`);
+  console.log(`Submit a job:\n  curl -s ${url}/v1/jobs -d '${body}'\n`);
+  console.log(`List its agents:\n  npx marblehall query "list agents" --entry ${url}\n`);
+  console.log(`Commands require the secret ${LOCAL_SECRET}.`);
 }
--- a/src/bin/commands/query.ts
+++ b/src/bin/commands/query.ts
@@ -15,7 +15,7 @@
 }
 
 /**
- * Adds `query`.
+ * Adds the `query` command.
  *
  * @param cli - the command line
  */
@@ -23,7 +23,7 @@
   cli
     .command('query <text>', "Run a statement of the operators' language and print a table")
     .option('--entry <url>', 'address of an entry', { default: 'http://127.0.0.1:7420' })
-    .option('--secret <text>', 'shared secret, for commands; or MARBLEHALL_SECRET')
+    .option('--secret <text>', 'shared secret, required for commands; default: MARBLEHALL_SECRET')
     .option('--json', 'print JSON')
     .action(async (text: string, flags: QueryFlags) => {
       const secret = flags.secret ?? process.env['MARBLEHALL_SECRET'] ?? '';
@@ -45,5 +45,5 @@
   }
   if (answer.rows) console.table(answer.rows);
   else if (!answer.errors) console.log(JSON.stringify(answer));
-  for (const peer of answer.unreachable ?? []) console.log(`could not be asked: ${peer}`);
+  for (const peer of answer.unreachable ?? []) console.log(`entry did not answer: ${peer}`);
 }
--- a/src/bin/commands/report.ts
+++ b/src/bin/commands/report.ts
@@ -1,7 +1,7 @@
 import type { CAC } from 'cac';
 
-import { buildDayReport } from '../../process/report/buildDayReport.js';
-import { renderDayReport } from '../../process/report/renderDayReport.js';
+import { buildLogReport } from '../../process/report/buildLogReport.js';
+import { renderLogReport } from '../../process/report/renderLogReport.js';
 import { readLogFiles } from '../readLogFiles.js';
 
 interface ReportFlags {
@@ -9,15 +9,18 @@
 }
 
 /**
- * Adds `report`.
+ * Adds the `report` command.
  *
  * @param cli - the command line
  */
 export function addReportCommand(cli: CAC): void {
   cli
-    .command('report <...files>', 'Sum up the logs of dispatchers: late, refused and waiting jobs over time')
-    .option('--window <seconds>', 'length of a row', { default: 2 })
+    .command(
+      'report <...files>',
+      'Summarize the logs of dispatchers: late, refused and waiting jobs over time',
+    )
+    .option('--window <seconds>', 'length of the time window of a row, s', { default: 2 })
     .action(async (files: string[], { window }: ReportFlags) => {
-      console.log(renderDayReport(buildDayReport(await readLogFiles(files), Number(window))));
+      console.log(renderLogReport(buildLogReport(await readLogFiles(files), Number(window))));
     });
 }
--- a/src/bin/commands/runUntilSignal.ts
+++ b/src/bin/commands/runUntilSignal.ts
@@ -1,19 +1,19 @@
-/** Something that runs until it is stopped. */
+/** A running component that can be stopped. */
 export interface Stoppable {
   stop(): Promise<void>;
 }
 
 /**
- * Waits for SIGTERM or SIGINT and then stops as planned; a second signal ends at once.
+ * Waits for SIGTERM or SIGINT, then stops all components and exits. SIGINT during the shutdown exits at once.
  *
- * @param running - what to stop, in this order
+ * @param components - components to stop, in this order
  */
-export async function runUntilSignal(running: readonly Stoppable[]): Promise<void> {
+export async function runUntilSignal(components: readonly Stoppable[]): Promise<void> {
   await new Promise<void>((resolve) => {
     process.once('SIGTERM', resolve);
     process.once('SIGINT', resolve);
   });
   process.once('SIGINT', () => process.exit(0));
-  for (const one of running) await one.stop();
+  for (const component of components) await component.stop();
   process.exit(0);
 }
--- a/src/bin/commands/standin.ts
+++ b/src/bin/commands/standin.ts
@@ -13,15 +13,15 @@
 }
 
 /**
- * Adds `standin platform` and `standin upstream`.
+ * Adds the `standin platform` and `standin upstream` commands.
  *
  * @param cli - the command line
  */
 export function addStandinCommands(cli: CAC): void {
   cli
-    .command('standin <system>', 'Run a stand-in of an outside system: platform or upstream')
+    .command('standin <system>', 'Run a stand-in for an external system: platform or upstream')
     .option('--settings <file>', 'settings file (JSON)')
-    .option('--port <number>', 'port, before the one in the settings')
+    .option('--port <number>', 'port, overrides the settings')
     .example(() => describeSettings('platform'))
     .example(() => describeSettings('upstream'))
     .action(async (system: string, { settings, port }: StandinFlags) => {
@@ -35,7 +35,7 @@
         const standin = await import('../../../standins/upstream/UpstreamStandin.js');
         await serve(new standin.UpstreamStandin(checked), checked.host, checked.port, system);
       } else {
-        throw new SettingsError(`no stand-in "${system}": platform or upstream`);
+        throw new SettingsError(`unknown stand-in "${system}", expected platform or upstream`);
       }
     });
 }
--- a/src/bin/commands/submit.ts
+++ b/src/bin/commands/submit.ts
@@ -10,13 +10,13 @@
 }
 
 /**
- * Adds `submit`.
+ * Adds the `submit` command.
  *
  * @param cli - the command line
  */
 export function addSubmitCommand(cli: CAC): void {
   cli
-    .command('submit <file>', 'Send a job (JSON; a job key is made when it has none) and print its answer')
+    .command('submit <file>', 'Submit a job (JSON, with a generated key if it has none) and print the answer')
     .option('--entry <url>', 'address of an entry', { default: 'http://127.0.0.1:7420' })
     .action(async (file: string, { entry }: SubmitFlags) => {
       const job = { job: createUuid(), ...(JSON.parse(await readFile(file, 'utf8')) as object) };
--- a/src/bin/exitCodes.ts
+++ b/src/bin/exitCodes.ts
@@ -1,6 +1,6 @@
-/** Exit codes that scripts can rely on, besides 0 for done. */
+/** Exit codes other than 0 (success). */
 
-/** It could not: a refused job, a rejected command, a broken promise, a failed daemon. */
+/** The command failed: refused job, rejected statement, failed check, failed daemon. */
 export const EXIT_FAILED = 1;
-/** The words of the call, or the settings, are wrong. */
+/** Invalid arguments or settings. */
 export const EXIT_USAGE = 2;
--- a/src/bin/marblehall.ts
+++ b/src/bin/marblehall.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
-/** The one binary: every daemon, stand-in and tool is a command of it. */
-import './surviveHangUp.js';
+/** Command-line interface: daemons, stand-ins and tools. */
+import './ignoreHangUp.js';
 
 import { cac } from 'cac';
 
--- a/src/bin/readLogFiles.ts
+++ b/src/bin/readLogFiles.ts
@@ -4,10 +4,10 @@
 import type { LogLine } from '../process/explain/explainJob.js';
 
 /**
- * Reads the log lines of several files; what is none of ours is passed over.
+ * Reads the log lines of several files. Lines that cannot be parsed are ignored.
  *
- * @param files - paths
- * @returns the lines, file by file
+ * @param files - paths of the files
+ * @returns the lines in the order of the files
  */
 export async function readLogFiles(files: readonly string[]): Promise<LogLine[]> {
   const texts = await Promise.all(files.map((file) => readFile(file, 'utf8')));
--- a/src/bin/runCommandLine.ts
+++ b/src/bin/runCommandLine.ts
@@ -4,9 +4,9 @@
 import { EXIT_FAILED, EXIT_USAGE } from './exitCodes.js';
 
 /**
- * Runs the command that the arguments of the process name, and sets the exit code.
+ * Runs the command given by the process arguments and sets the exit code.
  *
- * @param cli - the command line with its commands
+ * @param cli - command line with all commands added
  */
 export async function runCommandLine(cli: CAC): Promise<void> {
   try {
--- a/src/bin/serve.ts
+++ b/src/bin/serve.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
-/** The daemons of the platform alone: a restarted process must serve again soon, so nothing else is loaded. */
-import './surviveHangUp.js';
+/** Entry point with the `serve` command only, so that a daemon loads no other modules and starts quickly. */
+import './ignoreHangUp.js';
 
 import { cac } from 'cac';
 
--- a/src/load/buildReport.ts
+++ b/src/load/buildReport.ts
@@ -4,7 +4,7 @@
 import type { JobOutcome } from './runPlan.js';
 import type { IdealTimes } from './scheduleIdeal.js';
 
-/** A distribution, in ms or as a ratio. */
+/** Summary of a distribution of ms or of ratios. */
 export interface Distribution {
   readonly count: number;
   readonly mean: number;
@@ -15,27 +15,28 @@
 
 /** Counters of the processes over a run. */
 export interface ProcessCounts {
-  /** Messages by type, both directions. */
+  /** Messages by type, in both directions. */
   readonly messages: Readonly<Record<string, number>>;
   readonly entryCpuMs: number;
   readonly agentCpuMs: number;
   readonly maxRssBytes: number;
 }
 
-/** Report of one run. */
+/** Report of one load run. */
 export interface LoadReport {
   readonly policy: string;
   readonly jobs: number;
   readonly tasks: number;
   readonly outcomes: Readonly<Record<string, number>>;
   readonly reasons: Readonly<Record<string, number>>;
+  /** Share of the jobs that were complete before their deadline. */
   readonly inDeadline: number;
   readonly responseMs: Distribution;
-  /** Mean response over the mean of the clairvoyant schedule with priorities, of complete jobs. */
+  /** Mean response time of complete jobs, relative to that in the clairvoyant schedule with priorities. */
   readonly overClairvoyant: number;
-  /** The same over the schedule by least work without priorities. */
+  /** The same relative to the schedule by least work without priorities. */
   readonly overLeastWork: number;
-  /** Response over the job's own ideal in the clairvoyant schedule. */
+  /** Response time of each complete job, relative to its own in the clairvoyant schedule. */
   readonly ratio: Distribution;
   readonly byPriority: Readonly<
     Record<
@@ -44,22 +45,23 @@
     >
   >;
   readonly refusalMs: Distribution;
-  /** Share of slot time in use from the start until the last task was started, so while work waited. */
+  /** Utilization of the slots from the event's start until the last task was started. */
   readonly slotUse: number;
-  /** True work of jobs answered in their deadline over what the slots can do from the start to the last task's end. */
+  /** Work of the jobs answered before their deadline, relative to the slot time until the last task's end. */
   readonly goodput: number;
   readonly messagesPerTask: number;
   readonly wastedPerAnsweredTask: number;
   readonly messages: Readonly<Record<string, number>>;
+  /** Number of tasks that were started more than once. */
   readonly doubleStarts: number;
 }
 
-/** Message types that carry a task out and its answer back. */
-const USEFUL_TYPES: ReadonlySet<string> = new Set(['start', 'result']);
-/** Ratios are kept with this resolution in the histogram. */
+/** Types of the messages that start a task and return its result. */
+const TASK_MESSAGE_TYPES: ReadonlySet<string> = new Set(['start', 'result']);
+/** Steps per unit in the histogram. */
 const RATIO_SCALE = 1_000;
 
-/** What a report is built from. */
+/** Input of a report. */
 export interface ReportInput {
   readonly policy: string;
   readonly jobs: readonly PlannedJob[];
@@ -68,8 +70,9 @@
   readonly leastWork: IdealTimes;
   readonly counts: ProcessCounts;
   readonly slots: number;
+  /** Number of starts of each task. */
   readonly starts: ReadonlyMap<string, number>;
-  /** Begin and end of every use of a slot, ms since the epoch. */
+  /** Start and end of each time that a slot was busy, ms since the epoch. */
   readonly intervals: readonly (readonly [number, number])[];
   /** Start of the event, ms since the epoch. */
   readonly startAt: number;
@@ -78,7 +81,7 @@
 /**
  * Builds the report of a run.
  *
- * @param input - plan, outcomes, ideals and counters
+ * @param input - plan, outcomes, ideal times and counters
  * @returns the report
  */
 export function buildReport(input: ReportInput): LoadReport {
@@ -87,7 +90,7 @@
   const response = (index: number): number => (outcomes[index] as JobOutcome).responseMs;
   const answeredTasks = complete.reduce((sum, index) => sum + (jobs[index] as PlannedJob).workMs.length, 0);
   const sent = Object.values(counts.messages).reduce((sum, count) => sum + count, 0);
-  const useful = [...USEFUL_TYPES].reduce((sum, type) => sum + (counts.messages[type] ?? 0), 0);
+  const useful = [...TASK_MESSAGE_TYPES].reduce((sum, type) => sum + (counts.messages[type] ?? 0), 0);
   const refused = outcomes.filter(({ outcome }) => outcome === 'refused');
   const inTime = complete.filter((index) => response(index) <= (jobs[index] as PlannedJob).deadlineMs);
   return {
@@ -97,16 +100,16 @@
     outcomes: countBy(outcomes.map(({ outcome }) => outcome)),
     reasons: countBy(outcomes.filter(({ reason }) => reason !== '').map(({ reason }) => reason)),
     inDeadline: inTime.length / jobs.length,
-    responseMs: describe(complete.map(response)),
-    overClairvoyant: divideMeans(complete, response, ideal.clairvoyant),
-    overLeastWork: divideMeans(complete, response, leastWork.clairvoyant),
-    ratio: describe(
+    responseMs: buildDistribution(complete.map(response)),
+    overClairvoyant: computeMeanRatio(complete, response, ideal.clairvoyant),
+    overLeastWork: computeMeanRatio(complete, response, leastWork.clairvoyant),
+    ratio: buildDistribution(
       complete.map((index) => response(index) / Math.max(1, ideal.clairvoyant[index] as number)),
     ),
-    byPriority: describePriorities(jobs, complete, response, ideal),
-    refusalMs: describe(refused.map(({ responseMs }) => responseMs)),
-    slotUse: findSlotUse(input),
-    goodput: findGoodput(input, inTime),
+    byPriority: buildPriorityReports(jobs, complete, response, ideal),
+    refusalMs: buildDistribution(refused.map(({ responseMs }) => responseMs)),
+    slotUse: computeSlotUse(input),
+    goodput: computeGoodput(input, inTime),
     messagesPerTask: sent / Math.max(1, answeredTasks),
     wastedPerAnsweredTask: countWasted(input, useful, answeredTasks) / Math.max(1, answeredTasks),
     messages: counts.messages,
@@ -115,9 +118,9 @@
 }
 
 /**
- * Counts traffic that led to no answer: starts and results beyond one of each for an answered task, claims
- * and lookups of jobs that were not answered, cancellations, sweeps and attachments. Credits, demands,
- * acknowledgements and heartbeats are counted in the messages of a task, not here.
+ * Counts messages that did not contribute to an answer: starts and results beyond one of each per answered
+ * task, claims of unanswered jobs, cancellations, sweeps and attachments. Credits, demands, acknowledgements
+ * and heartbeats are not included.
  */
 function countWasted(input: ReportInput, useful: number, answeredTasks: number): number {
   const { messages } = input.counts;
@@ -128,20 +131,20 @@
   return Math.max(0, useful - 2 * answeredTasks) + Math.max(0, claims) + extra;
 }
 
-function findGoodput({ intervals, startAt, slots, jobs }: ReportInput, inTime: readonly number[]): number {
+function computeGoodput({ intervals, startAt, slots, jobs }: ReportInput, inTime: readonly number[]): number {
   const lastEnd = intervals.reduce((latest, [, end]) => Math.max(latest, end), startAt + 1);
   const done = inTime.reduce((sum, index) => sum + sumWork(jobs[index] as PlannedJob), 0);
   return done / (slots * (lastEnd - startAt));
 }
 
-function findSlotUse({ intervals, startAt, slots }: ReportInput): number {
+function computeSlotUse({ intervals, startAt, slots }: ReportInput): number {
   const own = intervals.filter(([begin]) => begin >= startAt);
   const lastStart = own.reduce((latest, [begin]) => Math.max(latest, begin), startAt);
   const busy = own.reduce((sum, [begin, end]) => sum + Math.max(0, Math.min(end, lastStart) - begin), 0);
   return busy / (slots * Math.max(1, lastStart - startAt));
 }
 
-function describePriorities(
+function buildPriorityReports(
   jobs: readonly PlannedJob[],
   complete: readonly number[],
   response: (index: number) => number,
@@ -151,9 +154,9 @@
   return Object.fromEntries(
     priorities.map((priority) => {
       const own = complete.filter((index) => jobs[index]?.priority === priority);
-      const responseMs = describe(own.map(response));
-      const idealMs = describe(own.map((index) => ideal.clairvoyant[index] as number));
-      const overClairvoyant = divideMeans(own, response, ideal.clairvoyant);
+      const responseMs = buildDistribution(own.map(response));
+      const idealMs = buildDistribution(own.map((index) => ideal.clairvoyant[index] as number));
+      const overClairvoyant = computeMeanRatio(own, response, ideal.clairvoyant);
       return [
         String(priority),
         { responseMs, overClairvoyant, p99OverIdeal: responseMs.p99 / Math.max(1, idealMs.p99) },
@@ -162,7 +165,7 @@
   );
 }
 
-function divideMeans(
+function computeMeanRatio(
   indexes: readonly number[],
   response: (index: number) => number,
   ideal: readonly number[],
@@ -177,10 +180,10 @@
 }
 
 /**
- * Counts equal values.
+ * Counts the occurrences of each value.
  *
- * @param values - what to count
- * @returns the count of each
+ * @param values - the values to count
+ * @returns the number of occurrences by value
  * @example
  * countBy(['a', 'b', 'a']); // { a: 2, b: 1 }
  */
@@ -191,17 +194,24 @@
 }
 
 /**
- * Describes a set of values by an HDR histogram of three digits.
+ * Summarizes values with an HDR histogram of three significant digits.
  *
- * @param values - not negative
- * @returns mean, quantiles and the largest
+ * @param values - non-negative numbers
+ * @returns count, mean, quantiles and maximum
  * @example
  * describe([1, 2, 3]).count; // 3
  */
-export function describe(values: readonly number[]): Distribution {
+export function buildDistribution(values: readonly number[]): Distribution {
   const histogram = build({ numberOfSignificantValueDigits: 3 });
   for (const value of values) histogram.recordValue(Math.max(0, Math.round(value * RATIO_SCALE)));
-  const at = (percentile: number): number => histogram.getValueAtPercentile(percentile) / RATIO_SCALE;
+  const findPercentile = (percentile: number): number =>
+    histogram.getValueAtPercentile(percentile) / RATIO_SCALE;
   const mean = values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length);
-  return { count: values.length, mean, p50: at(50), p99: at(99), worst: histogram.maxValue / RATIO_SCALE };
+  return {
+    count: values.length,
+    mean,
+    p50: findPercentile(50),
+    p99: findPercentile(99),
+    worst: histogram.maxValue / RATIO_SCALE,
+  };
 }
--- a/src/load/createPlan.ts
+++ b/src/load/createPlan.ts
@@ -5,37 +5,37 @@
 /** One job of a plan. */
 export interface PlannedJob {
   readonly number: number;
-  /** When it is sent, ms after the event's start; negative for shortly before. */
+  /** Time of sending, ms after the event's start; negative before it. */
   readonly atMs: number;
   readonly kind: string;
   readonly priority: number;
   readonly deadlineMs: number;
-  /** True work of each task, ms. */
+  /** Duration of each task, ms. */
   readonly workMs: readonly number[];
 }
 
-/** What a plan is made of. */
+/** Options of a plan. */
 export interface PlanOptions {
   readonly profile: Profile;
   readonly shape: ArrivalShape;
   readonly seed: number;
-  /** Slots of all upstreams. */
+  /** Number of slots of all upstreams. */
   readonly slots: number;
-  /** Seconds of work for all slots. */
+  /** Amount of work, in seconds of all slots. */
   readonly workSeconds: number;
-  /** Steady arrivals: work that arrives over what the slots can do. */
+  /** Steady arrivals: arriving work relative to the capacity of the slots. */
   readonly utilization: number;
-  /** Deadline of every job instead of its kind's, ms. */
+  /** Overrides the deadline of every kind, ms. */
   readonly deadlineMs?: number;
 }
 
-/** A burst's jobs arrive within this time after the start, ms. */
+/** Time after the start within which the jobs of a burst arrive, ms. */
 const BURST_SPREAD_MS = 100;
-/** A trickle sends a job every so often, ms. */
-const LOW_EVERY_MS = 25;
+/** Interval between jobs under low load, ms. */
+const LOW_INTERVAL_MS = 25;
 
 /**
- * Creates the jobs of a run. The same options give the same jobs.
+ * Creates the jobs of a run. The result is deterministic for the same options.
  *
  * @param options - profile, shape, seed and size
  * @returns the jobs in order of arrival
@@ -44,27 +44,27 @@
   const random = createRandom(options.seed);
   const totalMs = options.workSeconds * 1_000 * options.slots;
   const jobs: PlannedJob[] = [];
-  let sumMs = 0;
-  while (sumMs < totalMs) {
-    const kind = pickKind(options.profile, random);
-    const count = options.shape === 'low' ? 1 : Math.round(drawLog(kind.tasks, random));
-    const workMs = Array.from({ length: count }, () => drawWork(kind, random));
+  let plannedMs = 0;
+  while (plannedMs < totalMs) {
+    const kind = drawKind(options.profile, random);
+    const count = options.shape === 'low' ? 1 : Math.round(drawLogUniform(kind.tasks, random));
+    const workMs = Array.from({ length: count }, () => drawWorkMs(kind, random));
     const job = { number: jobs.length, kind: kind.name, priority: kind.priority, workMs };
     const deadlineMs = options.deadlineMs ?? kind.deadlineMs;
-    jobs.push({ ...job, deadlineMs, atMs: drawArrival(options, sumMs, jobs.length, random) });
-    sumMs += workMs.reduce((sum, work) => sum + work, 0);
+    jobs.push({ ...job, deadlineMs, atMs: drawArrivalMs(options, plannedMs, jobs.length, random) });
+    plannedMs += workMs.reduce((sum, work) => sum + work, 0);
   }
   return jobs.sort((left, right) => left.atMs - right.atMs);
 }
 
-function drawArrival(options: PlanOptions, sumMs: number, index: number, random: () => number): number {
+function drawArrivalMs(options: PlanOptions, plannedMs: number, index: number, random: () => number): number {
   if (options.shape === 'burst') return random() * BURST_SPREAD_MS;
-  if (options.shape === 'low') return index * LOW_EVERY_MS;
+  if (options.shape === 'low') return index * LOW_INTERVAL_MS;
   const jitter = random() * 50;
-  return sumMs / (options.slots * options.utilization) + jitter;
+  return plannedMs / (options.slots * options.utilization) + jitter;
 }
 
-function pickKind(profile: Profile, random: () => number): ProfileKind {
+function drawKind(profile: Profile, random: () => number): ProfileKind {
   let rest = random();
   for (const kind of profile.kinds) {
     rest -= kind.share;
@@ -73,11 +73,11 @@
   return profile.kinds[profile.kinds.length - 1] as ProfileKind;
 }
 
-function drawWork(kind: ProfileKind, random: () => number): number {
+function drawWorkMs(kind: ProfileKind, random: () => number): number {
   const range = random() < kind.longShare ? LONG_TASK_MS : kind.workMs;
-  return Math.round(drawLog(range, random));
+  return Math.round(drawLogUniform(range, random));
 }
 
-function drawLog([from, to]: readonly [number, number], random: () => number): number {
+function drawLogUniform([from, to]: readonly [number, number], random: () => number): number {
   return from * (to / from) ** random();
 }
--- a/src/load/policies.ts
+++ b/src/load/policies.ts
@@ -1,29 +1,29 @@
-/** The policies that runs compare. */
+/** Scheduling policies that load runs compare. */
 
-/** Settings of a policy that go before the defaults. */
+/** Settings of a policy, which override the defaults. */
 export interface PolicySettings {
   readonly entry: Readonly<Record<string, unknown>>;
   readonly agent: Readonly<Record<string, unknown>>;
 }
 
-/** Credits that never run out, for placements that push. */
+/** Effectively unlimited credits, for push placement. */
 const UNBOUNDED_OVERCOMMIT = 1_000_000;
 
 /** Policies by name. */
 export const POLICIES: Readonly<Record<string, PolicySettings>> = {
-  /** The product's own. */
+  /** The default settings. */
   product: { entry: {}, agent: {} },
-  /** First come first served, with credits. */
+  /** First come, first served, with credits. */
   arrival: { entry: { ordering: 'arrival' }, agent: {} },
-  /** Random push, the product's order in the agents' queues. */
+  /** Random push placement, with the default order in the agents' queues. */
   random: { entry: { placement: 'random' }, agent: { overcommit: UNBOUNDED_OVERCOMMIT } },
-  /** All baselines: random push, first come first served, accept until full. */
+  /** All baselines: random push placement, first come first served, admission until the table is full. */
   baseline: {
     entry: { placement: 'random', ordering: 'arrival', admission: 'full-table' },
     agent: { overcommit: UNBOUNDED_OVERCOMMIT },
   },
-  /** No overcommit: every start waits for a free slot. */
+  /** No overcommit: each start waits for a free slot. */
   'no-overcommit': { entry: {}, agent: { overcommit: 0 } },
-  /** Twice the overcommit. */
+  /** Twice the default overcommit. */
   'more-overcommit': { entry: {}, agent: { overcommit: 4 } },
 };
--- a/src/load/profile.ts
+++ b/src/load/profile.ts
@@ -1,21 +1,21 @@
-/** Workloads of the two sites, and the shapes in which they arrive. */
+/** Workload profiles and arrival shapes of load runs. */
 
 /** One kind of request of a profile. */
 export interface ProfileKind {
   readonly name: string;
-  /** Share of the jobs. */
+  /** Share of the jobs, from 0 to 1. */
   readonly share: number;
   readonly priority: number;
   readonly deadlineMs: number;
-  /** Shortest and longest usual task, ms; drawn log-uniformly. */
+  /** Minimum and maximum duration of a regular task, ms; log-uniform. */
   readonly workMs: readonly [number, number];
-  /** Share of tasks that last several seconds. */
+  /** Share of the tasks that are long, from 0 to 1. */
   readonly longShare: number;
-  /** Fewest and most tasks of a job; drawn log-uniformly. */
+  /** Minimum and maximum number of tasks of a job; log-uniform. */
   readonly tasks: readonly [number, number];
 }
 
-/** A site's workload. */
+/** A workload profile. */
 export interface Profile {
   readonly name: ProfileName;
   readonly service: string;
@@ -25,13 +25,13 @@
 /** Names of the profiles. */
 export type ProfileName = 'timber-exchange' | 'tender-desk';
 
-/** How jobs arrive: all at the start; evenly at a share of capacity; a trickle of single tasks. */
+/** How jobs arrive: all at the start; evenly at a share of the capacity; single tasks at low load. */
 export type ArrivalShape = 'burst' | 'steady' | 'low';
 
-/** Shortest and longest of the few long tasks, ms. */
+/** Minimum and maximum duration of a long task, ms. */
 export const LONG_TASK_MS: readonly [number, number] = [2_000, 4_000];
 
-/** Quotes are many and short; reservations few, wide and longer. */
+/** Many short quotes; few reservations with more and longer tasks. */
 const TIMBER_EXCHANGE: Profile = {
   name: 'timber-exchange',
   service: 'exchange',
@@ -66,7 +66,7 @@
   ],
 };
 
-/** Seals go first; status pings are many. */
+/** Seals of the highest priority; many short status pings. */
 const TENDER_DESK: Profile = {
   name: 'tender-desk',
   service: 'portal',
@@ -108,26 +108,26 @@
 };
 
 /**
- * Computes the expected duration of a kind's tasks.
+ * Computes the mean duration of a kind's tasks.
  *
  * @param kind - the kind
- * @returns ms
+ * @returns the mean, ms
  * @example
  * findMeanWork(PROFILES['tender-desk'].kinds[2]); // about 72
  */
-export function findMeanWork(kind: ProfileKind): number {
+export function computeMeanWorkMs(kind: ProfileKind): number {
   const [from, to] = kind.workMs;
-  const usual = (to - from) / Math.log(to / from);
-  const long = (LONG_TASK_MS[0] + LONG_TASK_MS[1]) / 2;
-  return usual * (1 - kind.longShare) + long * kind.longShare;
+  const usualMs = (to - from) / Math.log(to / from);
+  const longMs = (LONG_TASK_MS[0] + LONG_TASK_MS[1]) / 2;
+  return usualMs * (1 - kind.longShare) + longMs * kind.longShare;
 }
 
 /**
- * Writes the command that declares a profile's event.
+ * Builds the command that declares an event for a profile.
  *
  * @param profile - the profile
  * @param event - name of the event
- * @param options - when it starts, and a deadline that goes before those of the kinds
+ * @param options - start of the event, and a deadline that overrides those of the kinds
  * @returns a statement of the operators' language
  */
 export function buildDeclaration(
@@ -137,7 +137,7 @@
 ): string {
   const kinds = profile.kinds.map((kind) => {
     const deadline = options.deadlineMs ?? kind.deadlineMs;
-    const expected = findMeanWork(kind).toFixed(0);
+    const expected = computeMeanWorkMs(kind).toFixed(0);
     return `${kind.name}(service = ${profile.service}, priority = ${kind.priority}, deadline = ${deadline}ms, expected = ${expected}ms)`;
   });
   return `declare event ${event} start ${Math.round(options.startAt)} services ${profile.service} kinds ${kinds.join(', ')}`;
--- a/src/load/renderReport.ts
+++ b/src/load/renderReport.ts
@@ -3,10 +3,10 @@
 const BAR_WIDTH = 320;
 
 /**
- * Renders reports as one HTML page with the distributions side by side.
+ * Renders reports as one HTML page that compares their distributions.
  *
- * @param reports - of one invocation
- * @returns the page
+ * @param reports - the reports to compare
+ * @returns the HTML
  */
 export function renderReport(reports: readonly LoadReport[]): string {
   const scale = Math.max(1, ...reports.map((report) => report.responseMs.worst));
--- a/src/load/runEmbedded.ts
+++ b/src/load/runEmbedded.ts
@@ -1,4 +1,4 @@
-/** One run against a cluster in this process. */
+/** Runs a load against a cluster inside this process. */
 import { LocalCluster } from '../process/LocalCluster.js';
 import { createPlan } from './createPlan.js';
 import type { PlanOptions } from './createPlan.js';
@@ -9,12 +9,11 @@
 import { runPlan } from './runPlan.js';
 import { rankByWork, scheduleIdeal } from './scheduleIdeal.js';
 
-/** Wait from the declaration to the event's start, ms: time for every process to learn it. */
-const LEAD_MS = 1_500;
-/** Name of the event that runs use. */
-const EVENT = 'load';
+/** Delay from the declaration to the event's start, ms, so that every process has received it. */
+const START_DELAY_MS = 1_500;
+const EVENT_NAME = 'load';
 
-/** Size of the cluster and policy of a run. */
+/** Plan, policy and cluster size of a run. */
 export interface EmbeddedOptions extends Omit<PlanOptions, 'slots'> {
   readonly policy: string;
   readonly entries: number;
@@ -23,9 +22,9 @@
 }
 
 /**
- * Starts a cluster, sends one plan and reports.
+ * Starts a cluster, runs one plan against it and builds the report.
  *
- * @param options - plan, policy and sizes
+ * @param options - plan, policy and cluster size
  * @returns the report
  */
 export async function runEmbedded(options: EmbeddedOptions): Promise<LoadReport> {
@@ -39,15 +38,15 @@
   try {
     const slots = agents * slotsPerAgent;
     const jobs = createPlan({ ...options, slots });
-    const startAt = Date.now() + LEAD_MS;
+    const startAt = Date.now() + START_DELAY_MS;
     const { deadlineMs } = options;
     await cluster.runCommand(
-      buildDeclaration(profile, EVENT, deadlineMs === undefined ? { startAt } : { startAt, deadlineMs }),
+      buildDeclaration(profile, EVENT_NAME, deadlineMs === undefined ? { startAt } : { startAt, deadlineMs }),
     );
     const before = readCounts(cluster);
     const urls = cluster.entries.map((_, index) => cluster.entryUrl(index));
     const runId = `run-${options.seed}-${policy}`;
-    const outcomes = await runPlan(jobs, { entries: urls, event: EVENT, startAt, runId });
+    const outcomes = await runPlan(jobs, { entries: urls, event: EVENT_NAME, startAt, runId });
     const after = readCounts(cluster);
     const ideal = scheduleIdeal(jobs, slots);
     const leastWork = scheduleIdeal(jobs, slots, rankByWork);
--- a/src/load/runPlan.ts
+++ b/src/load/runPlan.ts
@@ -1,4 +1,4 @@
-/** Sends a plan to the entries, open loop, and checks every answer. */
+/** Sends the jobs of a plan to the entries (open loop) and checks every answer. */
 import { performance } from 'node:perf_hooks';
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -6,22 +6,23 @@
 
 import type { PlannedJob } from './createPlan.js';
 
-/** What became of one job. */
+/** Outcome of one job. */
 export interface JobOutcome {
   readonly outcome: 'complete' | 'refused' | 'failed' | 'broken';
   readonly reason: string;
-  /** From the planned moment of sending to the answer, ms: no omission when the sender is late. */
+  /** Time from the planned send time to the answer, ms, which avoids coordinated omission. */
   readonly responseMs: number;
   readonly status: number;
 }
 
-/** Where and how to send. */
+/** Target and identification of a run. */
 export interface RunOptions {
+  /** URLs of the entries. */
   readonly entries: readonly string[];
   readonly event: string;
   /** Start of the event, ms since the epoch. */
   readonly startAt: number;
-  /** Makes the keys of this run differ from those of others. */
+  /** Prefix of the job keys; unique per run. */
   readonly runId: string;
 }
 
@@ -32,7 +33,7 @@
 }
 
 /**
- * Sends every job at its moment, whether or not earlier ones were answered.
+ * Sends every job at its planned time, whether or not earlier ones were answered.
  *
  * @param jobs - the plan
  * @param options - entries, event and start
@@ -43,34 +44,34 @@
     (url) => new Pool(url, { connections: null, headersTimeout: 0, bodyTimeout: 0 }),
   );
   const bodies = jobs.map((job) => buildBody(job, options));
-  const clock = performance.now() - Date.now();
-  const startAt = options.startAt + clock;
-  const running: Promise<JobOutcome>[] = [];
+  const clockOffsetMs = performance.now() - Date.now();
+  const startAt = options.startAt + clockOffsetMs;
+  const responses: Promise<JobOutcome>[] = [];
   for (const [index, job] of jobs.entries()) {
     const wait = startAt + job.atMs - performance.now();
     if (wait > 1) await sleep(wait);
     const pool = pools[index % pools.length] as Pool;
-    running.push(sendJob(pool, job, bodies[index] as string, startAt + job.atMs, options));
+    responses.push(sendJob(pool, job, bodies[index] as string, startAt + job.atMs, options));
   }
-  const outcomes = await Promise.all(running);
+  const outcomes = await Promise.all(responses);
   await Promise.all(pools.map((pool) => pool.destroy()));
   return outcomes;
 }
 
 /**
- * Names a job of a run.
+ * Builds the key of a job.
  *
- * @param runId - of the run
- * @param number - of the job
+ * @param runId - id of the run
+ * @param number - number of the job
  * @returns the job key
  */
-export function nameJob(runId: string, number: number): string {
+export function buildJobKey(runId: string, number: number): string {
   return `${runId}-${number}`;
 }
 
 function buildBody(job: PlannedJob, options: RunOptions): string {
   const { event, runId, startAt } = options;
-  const key = nameJob(runId, job.number);
+  const key = buildJobKey(runId, job.number);
   const tasks = job.workMs.map((workMs, index) => ({
     kind: job.kind,
     body: { workMs, echo: `${key}/${index}` },
@@ -90,14 +91,14 @@
     const response = await pool.request({ method: 'POST', path: '/v1/jobs', body });
     const answer = (await response.body.json()) as AnswerBody;
     const responseMs = performance.now() - dueAt;
-    return { ...judgeAnswer(answer, job, options), responseMs, status: response.statusCode };
+    return { ...checkAnswer(answer, job, options), responseMs, status: response.statusCode };
   } catch (error) {
     const responseMs = performance.now() - dueAt;
     return { outcome: 'broken', reason: String(error), responseMs, status: 0 };
   }
 }
 
-function judgeAnswer(
+function checkAnswer(
   answer: AnswerBody,
   job: PlannedJob,
   options: RunOptions,
@@ -105,11 +106,11 @@
   const { outcome, reason = '' } = answer;
   if (outcome === 'refused' || outcome === 'failed') return { outcome, reason };
   if (outcome !== 'complete') return { outcome: 'broken', reason: JSON.stringify(answer).slice(0, 200) };
-  const key = nameJob(options.runId, job.number);
-  const whole = answer.answers?.length === job.workMs.length;
-  const right = answer.answers?.every(
-    (one, index) => one.status === 200 && one.body.echo === `${key}/${index}`,
+  const key = buildJobKey(options.runId, job.number);
+  const isComplete = answer.answers?.length === job.workMs.length;
+  const isCorrect = answer.answers?.every(
+    (taskAnswer, index) => taskAnswer.status === 200 && taskAnswer.body.echo === `${key}/${index}`,
   );
-  if (!whole || !right) return { outcome: 'broken', reason: 'the echoes do not match the tasks' };
+  if (!isComplete || !isCorrect) return { outcome: 'broken', reason: 'the echoes do not match the tasks' };
   return { outcome: 'complete', reason: '' };
 }
--- a/src/process/commands/CommandParser.ts
+++ b/src/process/commands/CommandParser.ts
@@ -1,4 +1,4 @@
-/** Grammar of the operators' language (docs/LANGUAGE.md shows every form). */
+/** Grammar of the operators' language; docs/LANGUAGE.md describes every statement. */
 import { EmbeddedActionsParser } from 'chevrotain';
 import type { IToken } from 'chevrotain';
 
@@ -28,7 +28,7 @@
 
 const UNIT_MS: Readonly<Record<string, number>> = { ms: 1, s: 1_000, m: 60_000, h: 3_600_000 };
 
-/** Properties of a kind that are not given. */
+/** Defaults of the properties of a kind. */
 const KIND_DEFAULTS: Omit<KindConfig, 'name'> = {
   service: '',
   priority: 5,
@@ -45,16 +45,16 @@
   expected: 'expectedMs',
 };
 
-/** Something a token cannot mean, found while the tree is built. */
-export interface MeaningError {
+/** A token that is valid in the grammar but has an invalid value. */
+export interface SemanticError {
   readonly column: number;
   readonly message: string;
 }
 
 /** Parses one statement; the result is undefined when there are errors. */
 export class CommandParser extends EmbeddedActionsParser {
-  /** Errors of meaning; those of form are in `errors`. */
-  meaningErrors: MeaningError[] = [];
+  /** Semantic errors; syntax errors are in `errors`. */
+  semanticErrors: SemanticError[] = [];
 
   constructor() {
     super(TOKENS, { recoveryEnabled: false });
@@ -289,32 +289,32 @@
   private readSubject(token: IToken): Subject {
     const subjects = ['jobs', 'tasks', 'agents', 'events', 'kinds', 'entries', 'registrars', 'domains'];
     const image = token.image.toLowerCase();
-    if (!subjects.includes(image)) this.report(token, `expected one of ${subjects.join(', ')}`);
+    if (!subjects.includes(image)) this.addError(token, `expected one of ${subjects.join(', ')}`);
     return image as Subject;
   }
 
   private readProperty(token: IToken, value: string | number, properties: Record<string, unknown>): void {
     const key = PROPERTY_NAMES[token.image];
-    if (!key) return this.report(token, `expected one of ${Object.keys(PROPERTY_NAMES).join(', ')}`);
+    if (!key) return this.addError(token, `expected one of ${Object.keys(PROPERTY_NAMES).join(', ')}`);
     if (key === 'repeatable') {
-      if (value !== 'yes' && value !== 'no') return this.report(token, 'repeatable is yes or no');
+      if (value !== 'yes' && value !== 'no') return this.addError(token, 'repeatable is yes or no');
       properties[key] = value === 'yes';
       return;
     }
     const isText = key === 'service';
     if (isText !== (typeof value === 'string')) {
-      return this.report(token, `${token.image} wants ${isText ? 'a name' : 'a number or duration'}`);
+      return this.addError(token, `${token.image} wants ${isText ? 'a name' : 'a number or duration'}`);
     }
     properties[key] = value;
   }
 
   private readIsoTime(token: IToken): TimeValue {
     const ms = Date.parse(JSON.parse(token.image) as string);
-    if (Number.isNaN(ms)) this.report(token, 'expected an ISO 8601 time');
+    if (Number.isNaN(ms)) this.addError(token, 'expected an ISO 8601 time');
     return { type: 'at', ms };
   }
 
-  private report(token: IToken, message: string): void {
-    this.meaningErrors.push({ column: token.startColumn ?? 1, message });
+  private addError(token: IToken, message: string): void {
+    this.semanticErrors.push({ column: token.startColumn ?? 1, message });
   }
 }
--- a/src/process/commands/CommandDesk.ts
+++ b/src/process/commands/CommandService.ts
@@ -1,4 +1,4 @@
-/** Runs operators' statements at one entry: queries over all entries, commands through the log. */
+/** Runs operators' statements on one entry: queries read from every entry, commands are appended to the log. */
 import { randomUUID } from 'node:crypto';
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -12,12 +12,12 @@
 import type { Row } from './runQuery.js';
 import type { CommandStatement, QueryStatement } from './statement.js';
 
-/** How long the other entries may take to answer a query, ms. */
-const ASK_MS = 1_000;
-/** How long a command may take until the log shows its result, ms. */
-const COMMAND_MS = 10_000;
-/** Between two appends of the same command, whose id makes the second one harmless, ms. */
-const APPEND_AGAIN_MS = 1_000;
+/** Timeout for the other entries' answers to a query, ms. */
+const QUERY_TIMEOUT_MS = 1_000;
+/** Timeout for a command's result to appear in the log, ms. */
+const COMMAND_TIMEOUT_MS = 10_000;
+/** Interval between appends of the same command, ms. Appends with the same id are idempotent. */
+const APPEND_RETRY_MS = 1_000;
 
 /** An answer to an operator. */
 export interface CommandAnswer {
@@ -26,17 +26,17 @@
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-interface OpenAsk {
+interface PendingQuery {
   readonly waiting: Set<string>;
   readonly rows: Row[];
   readonly finish: () => void;
 }
 
-/** Runs statements for operators. */
-export class CommandDesk {
-  private readonly asks = new Map<number, OpenAsk>();
+/** Runs operators' statements and answers the queries of other entries. */
+export class CommandService {
+  private readonly pendingQueries = new Map<number, PendingQuery>();
   private readonly watchers = new Set<() => void>();
-  private nextAsk = 1;
+  private nextQueryId = 1;
 
   constructor(
     private readonly node: EntryNode,
@@ -44,7 +44,7 @@
     private readonly send: (to: string, message: Message) => void,
   ) {}
 
-  /** Queries are open to whoever reaches the port; commands need the shared secret. */
+  /** Checks the secret of a request. Queries need none; commands need the shared secret. */
   isAuthorized(text: string, given: string, expected: string): boolean {
     const parsed = parseCommand(text);
     if (!parsed.ok || parsed.statement.type === 'query') return true;
@@ -55,86 +55,90 @@
   async runCommand(text: string, now: number): Promise<CommandAnswer> {
     const parsed = parseCommand(text);
     if (!parsed.ok) return { status: 400, body: { errors: parsed.errors } };
-    if (parsed.statement.type === 'query') return this.query(text, parsed.statement, now);
-    return this.command(parsed.statement, now);
+    if (parsed.statement.type === 'query') return this.runQueryStatement(text, parsed.statement, now);
+    return this.executeCommand(parsed.statement, now);
   }
 
-  /** Answers another entry's question. */
-  answerAsk(from: string, ask: Ask, now: number): void {
+  /** Answers a query of another entry. */
+  handleAsk(from: string, ask: Ask, now: number): void {
     const parsed = parseCommand(ask.text);
     const isQuery = parsed.ok && parsed.statement.type === 'query';
     const rows = isQuery ? runQuery(this.node.state, parsed.statement as QueryStatement, now) : [];
     this.send(from, { type: 'told', id: ask.id, text: JSON.stringify(rows) });
   }
 
-  /** Takes another entry's answer. */
-  noteTold(from: string, told: Told): void {
-    const ask = this.asks.get(told.id);
-    if (!ask?.waiting.delete(from)) return;
-    ask.rows.push(...(JSON.parse(told.text) as Row[]));
-    if (ask.waiting.size === 0) ask.finish();
+  /** Handles another entry's answer to a query. */
+  handleTold(from: string, told: Told): void {
+    const query = this.pendingQueries.get(told.id);
+    if (!query?.waiting.delete(from)) return;
+    query.rows.push(...(JSON.parse(told.text) as Row[]));
+    if (query.waiting.size === 0) query.finish();
   }
 
-  /** Wakes commands that wait for the configuration to show their result. */
-  noteConfig(): void {
+  /** Resolves pending commands whose result is in the configuration. */
+  checkResults(): void {
     for (const watcher of this.watchers) watcher();
   }
 
-  /** Finds a job by its key at this entry or another. */
+  /** Finds a job by its key on any entry; prefers the entry that owns it to those only attached. */
   async findJob(job: string, now: number): Promise<Row | undefined> {
     const text = `list jobs where job = ${JSON.stringify(job)}`;
-    const { rows } = await this.collect(text, now);
+    const { rows } = await this.queryAllEntries(text, now);
     const owned = rows.find((row) => row['state'] !== 'attached');
     return owned ?? rows[0];
   }
 
-  private async query(text: string, statement: QueryStatement, now: number): Promise<CommandAnswer> {
+  private async runQueryStatement(
+    text: string,
+    statement: QueryStatement,
+    now: number,
+  ): Promise<CommandAnswer> {
     const { rows, unreachable } = needsAllEntries(statement)
-      ? await this.collect(text, now)
+      ? await this.queryAllEntries(text, now)
       : { rows: runQuery(this.node.state, statement, now), unreachable: [] };
     if (statement.action === 'count') return { status: 200, body: { count: rows.length, unreachable } };
     return { status: 200, body: { rows: sortRows(rows, statement), unreachable } };
   }
 
-  /** Puts a query to every entry; those that do not answer are named. */
-  private async collect(text: string, now: number): Promise<{ rows: Row[]; unreachable: string[] }> {
+  /** Runs a query on every entry and lists the entries that did not answer. */
+  private async queryAllEntries(text: string, now: number): Promise<{ rows: Row[]; unreachable: string[] }> {
     const parsed = parseCommand(text);
     if (!parsed.ok || parsed.statement.type !== 'query') return { rows: [], unreachable: [] };
     const rows = runQuery(this.node.state, parsed.statement, now);
     const { config, peer, peers } = this.node.state;
     const others = config.entries.map((entry) => entry.peer).filter((other) => other !== peer);
     const reachable = others.filter((other) => peers.get(other)?.connected);
-    const silent = reachable.length === 0 ? [] : await this.ask(text, reachable, rows);
-    const unreachable = [...others.filter((other) => !reachable.includes(other)), ...silent];
+    const unanswered = reachable.length === 0 ? [] : await this.queryPeers(text, reachable, rows);
+    const unreachable = [...others.filter((other) => !reachable.includes(other)), ...unanswered];
     return { rows, unreachable };
   }
 
-  private async ask(text: string, peers: readonly string[], rows: Row[]): Promise<string[]> {
-    const id = this.nextAsk;
-    this.nextAsk += 1;
+  private async queryPeers(text: string, peers: readonly string[], rows: Row[]): Promise<string[]> {
+    const id = this.nextQueryId;
+    this.nextQueryId += 1;
     const waiting = new Set(peers);
     await new Promise<void>((resolve) => {
-      const timer = setTimeout(resolve, ASK_MS);
+      const timer = setTimeout(resolve, QUERY_TIMEOUT_MS);
       const finish = (): void => {
         clearTimeout(timer);
         resolve();
       };
-      this.asks.set(id, { waiting, rows, finish });
+      this.pendingQueries.set(id, { waiting, rows, finish });
       for (const peer of peers) this.send(peer, { type: 'ask', id, text });
     });
-    this.asks.delete(id);
+    this.pendingQueries.delete(id);
     return [...waiting];
   }
 
-  /** Appends a command until the log shows its result, under one id, so that it has one effect. */
-  private async command(statement: CommandStatement, now: number): Promise<CommandAnswer> {
+  /** Appends a command until its result appears in the log. Its id makes repeated appends idempotent. */
+  private async executeCommand(statement: CommandStatement, now: number): Promise<CommandAnswer> {
     const id = `command:${randomUUID()}`;
     const built = buildCommandRecord(statement, this.node.state.config, id, now);
     if (!built.ok) return { status: 409, body: { accepted: false, reason: built.reason } };
     let done = false;
-    const shown = this.waitForResult(id).finally(() => (done = true));
+    const resultShown = this.waitForResult(id).finally(() => (done = true));
     const appending = this.appendUntil(built.record, () => done);
-    const result = await shown;
+    const result = await resultShown;
     await appending;
     if (!result)
       return { status: 504, body: { accepted: 'unknown', id, reason: 'the log did not show the command' } };
@@ -148,7 +152,7 @@
   ): Promise<void> {
     while (!isDone()) {
       await this.platform.append(record).catch(() => undefined);
-      for (let waited = 0; waited < APPEND_AGAIN_MS && !isDone(); waited += 20) await sleep(20);
+      for (let waited = 0; waited < APPEND_RETRY_MS && !isDone(); waited += 20) await sleep(20);
     }
   }
 
@@ -165,7 +169,7 @@
       const watcher = (): void => {
         if (find()) finish();
       };
-      const timer = setTimeout(finish, COMMAND_MS);
+      const timer = setTimeout(finish, COMMAND_TIMEOUT_MS);
       this.watchers.add(watcher);
     });
   }
--- a/src/process/commands/buildEventRecord.ts
+++ b/src/process/commands/buildEventRecord.ts
@@ -2,18 +2,18 @@
 import type { DomainRecord, EventRecord } from '../../version/logRecord.js';
 import type { CommandStatement, EventClauses, EventStatement, TimeValue } from './statement.js';
 
-/** A record for the log, or why the command cannot become one. */
+/** A record for the log, or the reason why the command is rejected. */
 export type RecordResult<Record = EventRecord> =
   { readonly ok: true; readonly record: Record } | { readonly ok: false; readonly reason: string };
 
 /**
- * Turns an operator's command into a record.
+ * Builds the log record of an operator's command.
  *
  * @param statement - the command
- * @param config - the configuration
+ * @param config - the current configuration
  * @param id - unique id of the command
  * @param now - ms since the epoch
- * @returns the record, or why not
+ * @returns the record, or the reason for the rejection
  */
 export function buildCommandRecord(
   statement: CommandStatement,
@@ -27,14 +27,15 @@
 }
 
 /**
- * Turns an operator's command on an event into a record. What the command leaves out comes from the version of the event
- * that it was decided on, so that a change of another operator is never overwritten unseen.
+ * Builds the log record of an operator's command on an event. Omitted clauses keep their current values.
+ * A command that was decided on another version of the event is rejected, so that it cannot overwrite a
+ * concurrent change.
  *
  * @param statement - the command
- * @param config - the configuration
+ * @param config - the current configuration
  * @param id - unique id of the command
  * @param now - ms since the epoch
- * @returns the record, or why not
+ * @returns the record, or the reason for the rejection
  */
 export function buildEventRecord(
   statement: EventStatement,
--- a/src/process/commands/parseCommand.test.ts
+++ b/src/process/commands/parseCommand.test.ts
@@ -6,7 +6,7 @@
 import type { EventStatement } from './statement.js';
 
 describe('parseCommand', () => {
-  it('reads a query with conditions, order and limit', () => {
+  it('parses a query with conditions, order and limit', () => {
     const parsed = parseCommand('list jobs where state = running and ageMs > 2s order by ageMs desc limit 5');
     expect(parsed.ok && parsed.statement).to.deep.equal({
       type: 'query',
@@ -21,14 +21,14 @@
     });
   });
 
-  it('reads a declaration; a keyword may be a name', () => {
+  it('parses a declaration with a keyword as its name', () => {
     const parsed = parseCommand(
       'declare event end start now+90s services s kinds kind(service = s, priority = 0)',
     );
     expect(parsed.ok && parsed.statement).to.deep.include({ type: 'declare', name: 'end' });
   });
 
-  it('reads that a failure domain is emptied or taken back, and builds its record', () => {
+  it('parses and builds records that evacuate or restore a failure domain', () => {
     const parsed = parseCommand('evacuate domain halle-bern');
     const statement = { type: 'evacuate', failureDomain: 'halle-bern' } as const;
     expect(parsed.ok && parsed.statement).to.deep.equal(statement);
@@ -40,7 +40,7 @@
     expect(parseCommand('evacuate halle-bern').ok).to.equal(false);
   });
 
-  it('points at the column and says what it expected', () => {
+  it('reports the column and the expected token', () => {
     const parsed = parseCommand('change event opening start now');
     expect(parsed.ok).to.equal(false);
     if (!parsed.ok) {
@@ -49,7 +49,7 @@
     }
   });
 
-  it('refuses characters and properties that it does not know', () => {
+  it('rejects unknown characters and properties', () => {
     expect(parseCommand('list jobs where a ; 3').ok).to.equal(false);
     expect(parseCommand('declare event x kinds k(colour = red)').ok).to.equal(false);
   });
@@ -63,7 +63,7 @@
     return parsed.statement;
   };
 
-  it('refuses a change that was decided on another version', () => {
+  it('rejects a change that was decided on another version', () => {
     const kinds = [{ name: 'k', service: '', priority: 1, deadlineMs: 1, repeatable: false, expectedMs: 1 }];
     const event = { name: 'opening', startAt: 5, endAt: 0, services: ['s'], kinds, version: 7 };
     const config = { ...createConfigState(), events: [event] };
--- a/src/process/commands/parseCommand.ts
+++ b/src/process/commands/parseCommand.ts
@@ -1,12 +1,12 @@
 import { CommandParser } from './CommandParser.js';
-import type { MeaningError } from './CommandParser.js';
+import type { SemanticError } from './CommandParser.js';
 import type { Statement } from './statement.js';
 import { commandLexer } from './tokens.js';
 
-/** A statement, or every error with its column, counted from 1. */
+/** A statement, or all errors with their columns (1-based). */
 export type ParseResult =
   | { readonly ok: true; readonly statement: Statement }
-  | { readonly ok: false; readonly errors: readonly MeaningError[] };
+  | { readonly ok: false; readonly errors: readonly SemanticError[] };
 
 const parser = new CommandParser();
 
@@ -14,7 +14,7 @@
  * Parses a statement of the operators' language.
  *
  * @param text - one statement
- * @returns the statement, or the errors
+ * @returns the statement, or all errors found
  * @example
  * parseCommand('list jobs where state = running limit 5');
  */
@@ -28,13 +28,13 @@
   });
   if (lexErrors.length > 0) return { ok: false, errors: lexErrors };
   parser.input = lexed.tokens;
-  parser.meaningErrors = [];
+  parser.semanticErrors = [];
   const statement = parser.statement();
-  const formErrors = parser.errors.map(({ token, message }) => {
+  const syntaxErrors = parser.errors.map(({ token, message }) => {
     const column = Number.isFinite(token.startColumn) ? (token.startColumn as number) : text.length + 1;
     return { column, message };
   });
-  const errors = [...formErrors, ...parser.meaningErrors];
+  const errors = [...syntaxErrors, ...parser.semanticErrors];
   if (errors.length > 0) return { ok: false, errors };
   return { ok: true, statement };
 }
--- a/src/process/commands/runQuery.ts
+++ b/src/process/commands/runQuery.ts
@@ -1,13 +1,13 @@
 import type { EntryState } from '../entry/entryState.js';
 import type { Condition, QueryStatement, Subject } from './statement.js';
 
-/** One line of a query's answer. */
+/** One row of a query result, by column. */
 export type Row = Readonly<Record<string, string | number | boolean>>;
 
-/** Most rows that one entry returns when the query names no limit. */
+/** Maximum number of rows of a query without a limit. */
 export const DEFAULT_ROW_LIMIT = 1_000;
 
-/** Subjects that every entry sees in the same way, so that one entry answers for all. */
+/** Subjects that come from the replicated configuration and are the same on every entry. */
 const SHARED_SUBJECTS: ReadonlySet<Subject> = new Set([
   'events',
   'kinds',
@@ -17,22 +17,22 @@
 ]);
 
 /**
- * Tells whether a query has to be put to every entry.
+ * Checks whether a query must be run on every entry.
  *
  * @param statement - the query
- * @returns false when the configuration alone answers it
+ * @returns false when the configuration suffices
  */
 export function needsAllEntries(statement: QueryStatement): boolean {
   return !SHARED_SUBJECTS.has(statement.subject);
 }
 
 /**
- * Answers a query from what one entry knows.
+ * Runs a query on the state of one entry.
  *
  * @param state - the entry's state
  * @param statement - the query
  * @param now - ms since the epoch
- * @returns the rows that meet the conditions, in order, up to the limit
+ * @returns the rows that meet all conditions; for `list` sorted and limited
  */
 export function runQuery(state: EntryState, statement: QueryStatement, now: number): Row[] {
   const rows = listRows(state, statement.subject, now).filter((row) => meetsAll(row, statement.conditions));
@@ -40,11 +40,11 @@
 }
 
 /**
- * Puts rows of several entries in order and cuts them to the limit.
+ * Sorts rows and applies the limit.
  *
  * @param rows - the rows
  * @param statement - the query
- * @returns the rows to show
+ * @returns the sorted rows, at most the limit
  */
 export function sortRows(rows: readonly Row[], statement: QueryStatement): Row[] {
   const { order, limit } = statement;
--- a/src/process/commands/statement.ts
+++ b/src/process/commands/statement.ts
@@ -1,11 +1,11 @@
-/** The operators' language after parsing. */
+/** Parsed statements of the operators' language. */
 import type { KindConfig } from '../../version/configState.js';
 
-/** A point in time: ms since the epoch, or relative to when the command is run. */
+/** A point in time: ms since the epoch, or an offset from the time of execution. */
 export type TimeValue =
   { readonly type: 'at'; readonly ms: number } | { readonly type: 'now'; readonly plusMs: number };
 
-/** What an operator says about an event; undefined leaves it as it is. */
+/** Properties of an event in a command; undefined leaves the property unchanged. */
 export interface EventClauses {
   readonly start: TimeValue | undefined;
   readonly end: TimeValue | undefined;
@@ -13,10 +13,10 @@
   readonly kinds: readonly KindConfig[] | undefined;
 }
 
-/** What can be listed and counted. */
+/** Subjects that can be listed and counted. */
 export type Subject = 'jobs' | 'tasks' | 'agents' | 'events' | 'kinds' | 'entries' | 'registrars' | 'domains';
 
-/** Comparisons of a condition; `~` is "contains". */
+/** Comparison operators; `~` means "contains". */
 export type Comparison = '=' | '!=' | '<' | '<=' | '>' | '>=' | '~';
 
 /** A condition on one column. */
@@ -26,7 +26,7 @@
   readonly value: string | number;
 }
 
-/** A query. */
+/** A query: lists or counts the rows that meet all conditions. */
 export interface QueryStatement {
   readonly type: 'query';
   readonly action: 'list' | 'count';
@@ -36,14 +36,14 @@
   readonly limit: number | undefined;
 }
 
-/** A command that makes a new event. */
+/** A command that creates an event. */
 export interface DeclareStatement {
   readonly type: 'declare';
   readonly name: string;
   readonly clauses: EventClauses;
 }
 
-/** A command that changes an event, decided on one of its versions. */
+/** A command that changes an event if it is still at `version`. */
 export interface ChangeStatement {
   readonly type: 'change';
   readonly name: string;
@@ -51,7 +51,7 @@
   readonly clauses: EventClauses;
 }
 
-/** A command that ends an event. */
+/** A command that ends an event if it is still at `version`. */
 export interface EndStatement {
   readonly type: 'end';
   readonly name: string;
@@ -59,7 +59,7 @@
   readonly at: TimeValue;
 }
 
-/** A command that sets the priority of one kind. */
+/** A command that sets the priority of one kind of an event. */
 export interface PrioritizeStatement {
   readonly type: 'prioritize';
   readonly name: string;
@@ -68,7 +68,7 @@
   readonly version: number;
 }
 
-/** A command that empties a failure domain, or takes it back. */
+/** A command that evacuates a failure domain, or restores it. */
 export interface DomainStatement {
   readonly type: 'evacuate' | 'restore';
   readonly failureDomain: string;
@@ -77,7 +77,7 @@
 /** A command on an event. */
 export type EventStatement = DeclareStatement | ChangeStatement | EndStatement | PrioritizeStatement;
 
-/** A command that goes to the log. */
+/** A command that is appended to the log. */
 export type CommandStatement = EventStatement | DomainStatement;
 
 /** Any statement of the language. */
--- a/src/process/commands/tokens.ts
+++ b/src/process/commands/tokens.ts
@@ -2,62 +2,61 @@
 import { createToken, Lexer } from 'chevrotain';
 import type { TokenType } from 'chevrotain';
 
-/** A name, or a keyword where the grammar wants one. */
+/** A name; keywords also match where the grammar expects a name. */
 export const Name = createToken({ name: 'Name', label: 'a name', pattern: /[A-Za-z_][A-Za-z0-9_.@-]*/ });
 
-/** A text in double quotes, for names with other characters and for ISO times. */
+/** A double-quoted string, for names with other characters and for ISO 8601 times. */
 export const Text = createToken({ name: 'Text', label: 'a quoted text', pattern: /"(?:[^"\\]|\\.)*"/ });
 
-/** A duration: a number with `ms`, `s`, `m` or `h`. */
+/** A duration: a number followed by `ms`, `s`, `m` or `h`. */
 export const Duration = createToken({
   name: 'Duration',
   label: 'a duration such as 250ms',
   pattern: /\d+(?:\.\d+)?(?:ms|s|m|h)(?![A-Za-z0-9])/,
 });
 
-/** A number. */
 export const Numeral = createToken({ name: 'Numeral', label: 'a number', pattern: /-?\d+(?:\.\d+)?/ });
 
-/** A comparison of a condition. */
+/** A comparison operator. */
 export const Compare = createToken({ name: 'Compare', label: 'a comparison', pattern: /!=|<=|>=|=|<|>|~/ });
 
-/** Punctuation. */
+/** Separates list items. */
 export const Comma = createToken({ name: 'Comma', label: "','", pattern: /,/ });
 /** Opens the properties of a kind. */
 export const Open = createToken({ name: 'Open', label: "'('", pattern: /\(/ });
-/** Closes them. */
+/** Closes the properties of a kind. */
 export const Close = createToken({ name: 'Close', label: "')'", pattern: /\)/ });
 /** Adds a duration to `now`. */
 export const Plus = createToken({ name: 'Plus', label: "'+'", pattern: /\+/ });
 
 const Space = createToken({ name: 'Space', pattern: /\s+/, group: Lexer.SKIPPED });
 
-const WORDS = [
+const KEYWORD_NAMES = [
   'declare', 'change', 'end', 'event', 'version', 'start', 'services', 'kinds', 'at', 'now', 'prioritize', 'kind',
   'of', 'as', 'evacuate', 'restore', 'domain', 'list', 'count', 'where', 'and', 'order', 'by', 'asc', 'desc', 'limit',
 ] as const; // prettier-ignore
 
-/** A keyword. */
-export type Word = (typeof WORDS)[number];
+/** A keyword of the language. */
+export type Keyword = (typeof KEYWORD_NAMES)[number];
 
-/** Keywords; each may also stand where a name is wanted. */
+/** Keyword tokens; each is also accepted as a name. */
 export const KEYWORDS = Object.fromEntries(
-  WORDS.map((word) => {
-    const pattern = new RegExp(`${word}(?![A-Za-z0-9_.@-])`, 'i');
+  KEYWORD_NAMES.map((keyword) => {
+    const pattern = new RegExp(`${keyword}(?![A-Za-z0-9_.@-])`, 'i');
     return [
-      word,
+      keyword,
       createToken({
-        name: `Word_${word}`,
-        label: `'${word}'`,
+        name: `Word_${keyword}`,
+        label: `'${keyword}'`,
         pattern,
         longer_alt: Name,
         categories: [Name],
       }),
     ];
   }),
-) as Record<Word, TokenType>;
+) as Record<Keyword, TokenType>;
 
-/** All tokens, in the order in which the lexer tries them. */
+/** All tokens, in matching order. */
 export const TOKENS: TokenType[] = [
   Space,
   Text,
@@ -72,5 +71,5 @@
   Name,
 ];
 
-/** The lexer. */
+/** Lexer of the operators' language. */
 export const commandLexer = new Lexer(TOKENS);
--- a/src/process/entry/EntryDaemon.ts
+++ b/src/process/entry/EntryDaemon.ts
@@ -16,7 +16,7 @@
 import { CreditPlacement, RandomPlacement } from '../../request/placement.js';
 import { chooseAgents } from '../../version/chooseAgents.js';
 import type { LogEntry } from '../../version/logRecord.js';
-import { CommandDesk } from '../commands/CommandDesk.js';
+import { CommandService } from '../commands/CommandService.js';
 import { DaemonBase } from '../DaemonBase.js';
 import type { DaemonOptions } from '../DaemonBase.js';
 import { listMembers } from '../membership.js';
@@ -41,7 +41,7 @@
 export class EntryDaemon extends DaemonBase {
   protected override readonly role = 'entry';
   private node!: EntryNode;
-  private desk!: CommandDesk;
+  private desk!: CommandService;
   private readonly callers = new Map<string, ServerResponse>();
   private nextCaller = 1;
   private live: readonly LiveVm[] = [];
@@ -75,7 +75,7 @@
     const nextRandom = createRandom(Math.floor(readClock()));
     const policy = createPolicy(this.settings, nextRandom);
     this.node = new EntryNode(this.peer, createLimits(this.settings), membership, { policy, nextRandom });
-    this.desk = new CommandDesk(this.node, this.platform, (to, message) => {
+    this.desk = new CommandService(this.node, this.platform, (to, message) => {
       this.hub.send(to, message);
       this.turns.run(() => undefined);
     });
@@ -99,8 +99,8 @@
 
   protected override receive(peer: string, messages: readonly Message[], now: number): void {
     for (const message of messages) {
-      if (message.type === 'ask') this.desk.answerAsk(peer, message, now);
-      else if (message.type === 'told') this.desk.noteTold(peer, message);
+      if (message.type === 'ask') this.desk.handleAsk(peer, message, now);
+      else if (message.type === 'told') this.desk.handleTold(peer, message);
       else this.node.receive(peer, message, now);
     }
   }
@@ -125,7 +125,7 @@
   protected override endTurn(now: number): void {
     for (const effect of this.node.takeEffects(now)) this.carryOut(effect);
     this.hub.flush();
-    this.desk.noteConfig();
+    this.desk.checkResults();
   }
 
   protected override revalidate(): void {
--- a/src/process/explain/explainJob.test.ts
+++ b/src/process/explain/explainJob.test.ts
@@ -8,37 +8,39 @@
 }
 
 describe('explainJob', () => {
-  it('reads lines behind what a collector adds, and passes over what is no line', () => {
+  it('ignores prefixes of log collectors and texts that are not log lines', () => {
     const text = '  1.5 entry-1 {"time":5,"process":"entry-1","event":"answer","job":"j"}';
     expect(parseLogLine(text)).to.deep.equal(line(5, 'answer', { job: 'j' }));
     expect(parseLogLine('no line')).to.equal(undefined);
     expect(parseLogLine('{"a":1}')).to.equal(undefined);
   });
 
-  it('puts lines of several processes in order and leaves out other jobs', () => {
+  it('sorts the lines of several processes and omits other jobs', () => {
     const lines = [
       line(3, 'answer', { job: 'j', kind: 'completed', tookMs: 10, objectiveMs: 20 }),
       line(1, 'place', { job: 'j', waitedMs: 0 }),
       line(2, 'task-ended', { task: 'j/0/1', end: 'failed' }),
       line(2, 'place', { job: 'j2' }),
     ];
-    const { lines: own, cause } = explainJob('j', lines);
-    expect(own.map(({ time }) => time)).to.deep.equal([1, 2, 3]);
+    const { lines: jobLines, cause } = explainJob('j', lines);
+    expect(jobLines.map(({ time }) => time)).to.deep.equal([1, 2, 3]);
     expect(cause).to.equal('completed in time');
   });
 
-  it('names why a job is late', () => {
+  it('names the cause of a late job', () => {
     const answer = line(9, 'answer', { job: 'j', kind: 'completed', tookMs: 500, objectiveMs: 200 });
     const lost = line(5, 'attempt-over', { job: 'j', end: 'lost', reason: 'agent-silent' });
-    expect(explainJob('j', [answer, lost]).cause).to.match(/^late by 300 ms: an agent was not heard/);
+    expect(explainJob('j', [answer, lost]).cause).to.match(/^late by 300 ms: an agent was unresponsive/);
     const broken = line(5, 'attempt-over', { job: 'j', end: 'lost', reason: 'link-broke' });
-    expect(explainJob('j', [answer, broken]).cause).to.match(/^late by 300 ms: a link broke or went silent/);
+    expect(explainJob('j', [answer, broken]).cause).to.match(
+      /^late by 300 ms: a link broke or became unresponsive/,
+    );
     const waited = line(5, 'place', { job: 'j', waitedMs: 250 });
-    expect(explainJob('j', [answer, waited]).cause).to.match(/waited 250 ms for room/);
+    expect(explainJob('j', [answer, waited]).cause).to.match(/waited 250 ms for free capacity/);
   });
 
-  it('says what is known of a job without an answer, and of one that was never here', () => {
+  it('explains a job without an answer, and a job without log lines', () => {
     expect(explainJob('j', [line(1, 'place', { job: 'j' })]).cause).to.match(/no answer is logged/);
-    expect(explainJob('j', []).cause).to.match(/no line names this job/);
+    expect(explainJob('j', []).cause).to.match(/no log line names this job/);
   });
 });
--- a/src/process/explain/explainJob.ts
+++ b/src/process/explain/explainJob.ts
@@ -1,58 +1,59 @@
-/** Puts the log lines of one job, from several processes, in order and names the cause they show. */
+/** Collects the log lines of one job from several processes and derives why it ended as it did. */
 
-/** A log line. */
+/** A parsed log line. */
 export interface LogLine {
-  /** Ms since the epoch by the clock of its process at its start. */
+  /** Ms since the epoch, by the monotonic clock of the process, anchored at its start. */
   readonly time: number;
   readonly process: string;
   readonly event: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** What is known of a job. */
+/** The log lines of a job and the cause of its outcome. */
 export interface JobExplanation {
   readonly lines: readonly LogLine[];
   readonly cause: string;
 }
 
-/** Fields that stand before the event in every line. */
-const HEAD_FIELDS = new Set(['time', 'level', 'process', 'incarnation', 'event']);
+/** Fields that every log line has. */
+const COMMON_FIELDS = new Set(['time', 'level', 'process', 'incarnation', 'event']);
 
-const CAUSES: Readonly<Record<string, string>> = {
+/** Causes by the reason of a job's answer. */
+const ANSWER_CAUSES: Readonly<Record<string, string>> = {
   'cannot-finish':
-    'refused: no agent had room in time to finish it before its deadline; nothing of it has run',
-  'no-room': 'refused: no agent had room for it in time; nothing of it has run',
-  leaving: 'refused: the entry was stopping as planned; nothing of it has run',
-  paused: 'given up: the entry stood still for longer than agents wait for it',
-  'entry-ends': 'given up: the entry ended before the job did',
+    'refused: no agent had free capacity in time to finish it before its deadline; none of its tasks were run',
+  'no-room': 'refused: no agent had free capacity for it in time; none of its tasks were run',
+  leaving: 'refused: the entry was shutting down; none of its tasks were run',
+  paused: 'given up: the entry was paused for longer than the orphan timeout of agents',
+  'entry-ends': 'given up: the entry shut down before the job was done',
   'caller-gone': 'given up: the caller closed its connection before the job was done',
-  'submitted-again': 'given up: the caller submitted the job again here',
+  'submitted-again': 'given up: the caller submitted the job to the entry again',
   attempts: 'failed: a task failed as often as its queue allows',
   crashes: 'failed: upstreams crashed while running one of its tasks',
 };
 
-/** Ends of attempts in order of what explains most. */
-const END_CAUSES: readonly (readonly [string, string])[] = [
-  ['agent-silent', 'an agent was not heard for so long that its tasks counted as lost'],
-  ['link-broke', 'a link broke or went silent, and what it had carried was sent again'],
-  ['entry-silent', 'an agent heard no echo for so long that it stopped the tasks'],
-  ['agent-replaced', 'an agent died and another life of it took its place'],
+/** Causes by the end or reason of an attempt, most significant first. */
+const ATTEMPT_CAUSES: readonly (readonly [string, string])[] = [
+  ['agent-silent', 'an agent was unresponsive for so long that its tasks counted as lost'],
+  ['link-broke', 'a link broke or became unresponsive, and its tasks counted as lost'],
+  ['entry-silent', 'an agent received no ping reply for so long that it stopped the tasks'],
+  ['agent-replaced', 'an agent died and was replaced by a new incarnation'],
   ['upstream-crashed', 'an upstream crashed while running the task'],
-  ['unreachable', 'an upstream did not answer until every lease was over'],
-  ['other-life', 'an upstream died and another life of it took its place'],
-  ['lapsed', 'a lease ran out: the agent did not renew it in time'],
+  ['unreachable', 'an upstream did not answer until every lease had expired'],
+  ['other-life', 'an upstream died and was replaced by a new incarnation'],
+  ['lapsed', 'a lease expired: the agent did not renew it in time'],
   ['failed', 'tasks failed at their upstream'],
-  ['stopped-by-entry', 'a task stood still or crawled and was moved'],
-  ['domain-emptied', 'the operators had emptied the failure domain when the start arrived'],
-  ['full', 'agents had no room when the start arrived'],
-  ['expired', 'starts were too long on their way'],
+  ['stopped-by-entry', 'a task was stalled or slow and was moved'],
+  ['domain-emptied', 'the failure domain was evacuated when the start arrived'],
+  ['full', 'agents had no free capacity when the start arrived'],
+  ['expired', 'starts expired before they were run'],
 ];
 
 /**
- * Parses a line of a log. Text before the JSON, as some collectors add, is passed over.
+ * Parses a log line. Text before the JSON, such as the prefix of a log collector, is ignored.
  *
  * @param text - the line
- * @returns the line, or undefined if it is none of ours
+ * @returns the parsed line, or undefined if the text is not a log line of this project
  * @example
  * parseLogLine('{"time":1,"process":"a","event":"answer","job":"j"}')?.event; // 'answer'
  */
@@ -64,7 +65,7 @@
     const { time, process, event } = value;
     if (typeof time !== 'number' || typeof process !== 'string' || typeof event !== 'string')
       return undefined;
-    const fields = Object.fromEntries(Object.entries(value).filter(([name]) => !HEAD_FIELDS.has(name)));
+    const fields = Object.fromEntries(Object.entries(value).filter(([name]) => !COMMON_FIELDS.has(name)));
     return { time, process, event, fields };
   } catch {
     return undefined;
@@ -72,40 +73,42 @@
 }
 
 /**
- * Explains how a job ended.
+ * Explains the outcome of a job.
  *
- * @param job - its id
+ * @param job - the job's id
  * @param lines - lines of any processes, in any order
- * @returns the job's lines in order of time, and the cause
+ * @returns the job's lines in chronological order, and the cause of its outcome
  */
 export function explainJob(job: string, lines: readonly LogLine[]): JobExplanation {
-  const own = lines.filter((line) => isAbout(line, job)).sort((left, right) => left.time - right.time);
-  return { lines: own, cause: findCause(own) };
+  const jobLines = lines
+    .filter((line) => belongsToJob(line, job))
+    .sort((left, right) => left.time - right.time);
+  return { lines: jobLines, cause: findCause(jobLines) };
 }
 
-function isAbout({ fields }: LogLine, job: string): boolean {
+function belongsToJob({ fields }: LogLine, job: string): boolean {
   return fields['job'] === job || String(fields['task'] ?? '').startsWith(`${job}/`);
 }
 
 function findCause(lines: readonly LogLine[]): string {
   const answer = lines.filter(({ event }) => event === 'answer' || event === 'reject').at(-1);
-  if (lines.length === 0) return 'no line names this job: it reached none of these processes';
-  if (!answer) return 'no answer is logged: the entry died or was cut off while the job was open';
+  if (lines.length === 0) return 'no log line names this job: it reached none of these processes';
+  if (!answer) return 'no answer is logged: the entry died or was disconnected while the job was open';
   const { kind, reason, tookMs, objectiveMs } = answer.fields;
-  if (answer.event === 'reject') return `not taken: ${String(reason)}`;
-  const known = CAUSES[String(reason)];
-  const trouble = findTrouble(lines);
+  if (answer.event === 'reject') return `rejected: ${String(reason)}`;
+  const answerCause = ANSWER_CAUSES[String(reason)];
+  const attemptCause = findAttemptCause(lines);
   if (kind === 'completed') {
     if (Number(tookMs) <= Number(objectiveMs)) return 'completed in time';
-    return `late by ${Number(tookMs) - Number(objectiveMs)} ms: ${trouble ?? describeWait(lines)}`;
+    return `late by ${Number(tookMs) - Number(objectiveMs)} ms: ${attemptCause ?? describeWait(lines)}`;
   }
-  const head = known ?? `given up: ${String(reason)}`;
-  return trouble === undefined ? head : `${head}; before that, ${trouble}`;
+  const summary = answerCause ?? `given up: ${String(reason)}`;
+  return attemptCause === undefined ? summary : `${summary}; before that, ${attemptCause}`;
 }
 
-function findTrouble(lines: readonly LogLine[]): string | undefined {
+function findAttemptCause(lines: readonly LogLine[]): string | undefined {
   const reasons = new Set(lines.flatMap(({ fields }) => [String(fields['reason']), String(fields['end'])]));
-  return END_CAUSES.find(([reason]) => reasons.has(reason))?.[1];
+  return ATTEMPT_CAUSES.find(([reason]) => reasons.has(reason))?.[1];
 }
 
 function describeWait(lines: readonly LogLine[]): string {
@@ -113,5 +116,7 @@
     .filter(({ event }) => event === 'place')
     .map(({ fields }) => Number(fields['waitedMs']));
   const longest = Math.max(0, ...waits);
-  return longest > 20 ? `its last task waited ${longest} ms for room` : 'its tasks ran slower than estimated';
+  return longest > 20
+    ? `its last task waited ${longest} ms for free capacity`
+    : 'its tasks ran slower than estimated';
 }
--- a/src/process/report/buildDayReport.test.ts
+++ b/src/process/report/buildLogReport.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 
 import type { LogLine } from '../explain/explainJob.js';
-import { buildDayReport } from './buildDayReport.js';
-import { renderDayReport } from './renderDayReport.js';
+import { buildLogReport } from './buildLogReport.js';
+import { renderLogReport } from './renderLogReport.js';
 
 const START_MS = 1_000_000;
 const WINDOW_S = 2;
@@ -26,9 +26,9 @@
   answer(2_150, 'a', { tookMs: 50, objectiveMs: 200 }, 'entry-2'),
 ];
 
-describe('buildDayReport', () => {
-  it('sums up each window of a queue', () => {
-    const [queue] = buildDayReport(LINES, WINDOW_S).queues;
+describe('buildLogReport', () => {
+  it('summarizes each window of a queue', () => {
+    const [queue] = buildLogReport(LINES, WINDOW_S).queues;
     expect(queue?.queue).to.equal('q');
     expect(queue?.windows).to.deep.equal([
       {
@@ -56,23 +56,23 @@
     ]);
   });
 
-  it('takes lines in any order', () => {
-    const report = buildDayReport(LINES, WINDOW_S);
-    expect(buildDayReport([...LINES].reverse(), WINDOW_S).queues).to.deep.equal(report.queues);
+  it('accepts lines in any order', () => {
+    const report = buildLogReport(LINES, WINDOW_S);
+    expect(buildLogReport([...LINES].reverse(), WINDOW_S).queues).to.deep.equal(report.queues);
   });
 
-  it('counts why attempts did not end done', () => {
-    expect(buildDayReport(LINES, WINDOW_S).attempts).to.deep.equal([
+  it('counts attempts that did not complete by end and reason', () => {
+    expect(buildLogReport(LINES, WINDOW_S).attempts).to.deep.equal([
       { end: 'not-run', reason: 'full', count: 1 },
     ]);
   });
 
-  it('has nothing to say of no lines', () => {
-    expect(buildDayReport([], WINDOW_S)).to.deep.equal({ queues: [], attempts: [] });
+  it('is empty without log lines', () => {
+    expect(buildLogReport([], WINDOW_S)).to.deep.equal({ queues: [], attempts: [] });
   });
 
-  it('renders a row a window', () => {
-    const text = renderDayReport(buildDayReport(LINES, WINDOW_S));
+  it('renders one row per window', () => {
+    const text = renderLogReport(buildLogReport(LINES, WINDOW_S));
     expect(text.split('\n')[0]).to.equal('queue q');
     expect(text.split('\n').slice(2, 4).join('\n')).to.match(/^ +0 +2 +1 +1 .*\n +2 +1 +0 /);
     expect(text).to.include('1 not-run full');
--- a/src/process/report/renderDayReport.ts
+++ b/src/process/report/renderLogReport.ts
@@ -1,6 +1,6 @@
-import type { DayReport, WindowReport } from './buildDayReport.js';
+import type { LogReport, WindowReport } from './buildLogReport.js';
 
-/** Columns and how each is filled. */
+/** Columns with their values. */
 const COLUMNS: readonly (readonly [string, (window: WindowReport) => number])[] = [
   ['from s', ({ startS }) => startS],
   ['answered', ({ answered }) => answered],
@@ -15,16 +15,16 @@
   ['p90', ({ lastWaitMs }) => lastWaitMs.p90],
 ];
 
-/** Least width of a column, characters. */
+/** Minimum width of a column, characters. */
 const MIN_WIDTH = 6;
 
 /**
- * Renders the report of a day as text.
+ * Renders a log report as text.
  *
  * @param report - the report
- * @returns a table for each queue, then the attempts that did not end done
+ * @returns a table for each queue, then the attempts that did not complete
  */
-export function renderDayReport({ queues, attempts }: DayReport): string {
+export function renderLogReport({ queues, attempts }: LogReport): string {
   const tables = queues.flatMap(({ queue, windows }) => [
     `queue ${queue}`,
     renderRow(COLUMNS.map(([title]) => title)),
@@ -32,7 +32,7 @@
     '',
   ]);
   const rows = attempts.map(({ end, reason, count }) => `${count} ${end} ${reason}`);
-  return [...tables, 'attempts that did not end done', ...rows].join('\n');
+  return [...tables, 'attempts that did not complete', ...rows].join('\n');
 }
 
 function renderRow(cells: readonly string[]): string {
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -28,7 +28,7 @@
     void bench.submit('entry-1', 'filler', 8, 3_000);
     await bench.waitFor(() => bench.starts.size === 8);
     expect((await bench.submit('entry-1', 'refused', 1, 50, 3_000)).status).to.equal(503);
-    await waitForCause('refused', /^refused: no agent had room/);
+    await waitForCause('refused', /^refused: no agent had free capacity/);
   });
 
   it('names the loss of an agent', async () => {
@@ -39,7 +39,7 @@
     );
     bench.signal('agent-1', 'SIGKILL');
     expect((await lost).body).to.equal('{"state":"completed"}');
-    await waitForCause('lost', /an agent was not heard/);
+    await waitForCause('lost', /an agent was unresponsive/);
   });
 
   it('names tasks that failed at their upstream', async () => {
