--- a/src/_lib/BootClock.ts
+++ b/src/_lib/BootClock.ts
@@ -1,106 +1,109 @@
-/** A clock that counts the time in which the VM was suspended, and takes no step of the time of day for such time. */
+/** Monotonic clock that includes the time in which the VM was suspended and ignores steps of the wall clock. */
 import { uptime } from 'node:os';
 import { performance } from 'node:perf_hooks';
 
 import { Clock } from './Clock.js';
 
 /**
- * How far two readings may have drifted apart before that means something, ms: `os.uptime()` counts in steps of 10 ms, and
- * a process may be held up between two readings. Below the margins of promises between processes.
+ * Tolerated drift between two clocks, ms. Covers the 10 ms resolution of `os.uptime()` and delays between two
+ * readings, and is less than the safety margins of leases and timeouts.
  */
-const DRIFT_MS = 25;
+const DRIFT_TOLERANCE_MS = 25;
 /**
- * Between two looks at the boot clock, ms. A look costs three system calls; steps of the time of day bring one at once, so
- * this bounds only how long a suspension stays hidden that a step back of the same length makes up for.
+ * Interval between samples of the boot clock, ms, which limits the number of system calls. A step of the wall
+ * clock triggers a sample at once, so the interval only delays a suspension masked by an equal step back.
  */
-const LOOK_MS = 250;
-/**
- * The same in the first moments of a clock, and how long those are, ms: a boot clock that goes at another pace is found out
- * before much of that has counted as a suspension, and before there are links and leases that it would end.
- */
-const EARLY_LOOK_MS = 20;
-const EARLY_MS = 60;
-/** Looks in a row at which the boot clock must go as the steady one does before it is relied on. */
-const LOOKS_TO_TRUST = 40;
-/** Looks in a row at which it is ahead and nothing else bears that out, after which it is not relied on. */
-const ODD_LOOKS = 2;
-/** Longest time between the readings before and after the boot clock's, ms, and how often they are tried. */
-const TIGHT_MS = 3;
-const TRIES = 3;
-
-/** What a VM has to tell the time by, ms each, from any moment on. */
+const SAMPLE_INTERVAL_MS = 250;
+/** Interval between samples during startup, ms: detects a boot clock of a wrong rate before leases exist. */
+const STARTUP_SAMPLE_INTERVAL_MS = 20;
+/** Duration of the startup, ms. */
+const STARTUP_MS = 60;
+/** Consecutive samples consistent with the steady clock after which the boot clock is trusted. */
+const SAMPLES_TO_TRUST = 40;
+/** Consecutive unconfirmed leads after which the boot clock is not trusted any more. */
+const UNCONFIRMED_LEADS_TO_DOUBT = 2;
+/** Maximum duration of a sample, ms; slower ones are retried. */
+const MAX_SAMPLE_SPAN_MS = 3;
+/** Maximum number of attempts to take a sample within `MAX_SAMPLE_SPAN_MS`. */
+const MAX_SAMPLE_ATTEMPTS = 3;
+
+/** Clocks of a VM, ms since an arbitrary origin. */
 export interface TimeReadings {
-  /** Does not count suspended time, and is never set. */
+  /** Monotonic clock without suspended time. */
   readonly readSteady: () => number;
-  /** Counts suspended time, and is set by somebody now and then. */
+  /** Wall clock: includes suspended time, may be set. */
   readonly readTimeOfDay: () => number;
-  /** Counts suspended time, and is never set. Costly; not to be had everywhere. */
+  /** Monotonic clock with suspended time. Expensive to read and not available on every platform. */
   readonly readBoot: () => number;
 }
 
-/** The readings of the VM. */
+/** Clocks of this VM. */
 export const VM_READINGS: TimeReadings = {
   readSteady: () => performance.now(),
   readTimeOfDay: () => Date.now(),
   readBoot: () => uptime() * 1_000,
 };
 
-/** What a clock tells of itself; called while it is being read, so that nothing may be decided there. */
+/** Receives the events of a clock. Called during a reading of the clock, so it must not change other state. */
 export type ClockNote = (
   event: 'suspended' | 'time-of-day-stepped' | 'boot-clock',
   fields: Readonly<Record<string, unknown>>,
 ) => void;
 
-/** Whether the boot clock is relied on; `unknown` until it has shown how it goes. */
+/** Whether the boot clock is trusted; `unknown` until enough samples were taken. */
 type BootTrust = 'unknown' | 'trusted' | 'doubted';
 
-/** Readings that were made at one moment. */
-interface Look {
+/** Readings of all clocks at one time, ms. */
+interface ClockSample {
   readonly steady: number;
   readonly timeOfDay: number;
-  /** Undefined where it cannot be read. */
+  /** Undefined if the boot clock cannot be read. */
   readonly boot: number | undefined;
 }
 
 /**
- * The steady clock and all suspended time. Each reading compares the time of day with the steady clock; the boot clock is
- * looked at when the two drift apart, and every `LOOK_MS`.
+ * Steady clock plus all suspended time. Each reading compares the wall clock with the steady clock. The boot
+ * clock is sampled when the two drift apart, and every `SAMPLE_INTERVAL_MS`.
  *
- * Where the boot clock cannot be relied on, each step forward of the time of day counts as a suspension; until it has shown
- * whether it can, a step of either does. A wrong one costs work, and a missed one may have a task run twice at once.
+ * If the boot clock is not trusted, each forward step of the wall clock counts as a suspension; while its trust
+ * is unknown, a forward step of either clock does. A false suspension wastes work; a missed one may run a task
+ * twice concurrently.
  */
 export class BootClock extends Clock {
   private suspendedMs = 0;
-  private last: Look;
-  /** When the clock was created, by the steady clock, ms. */
+  private lastSample: ClockSample;
+  /** Time of creation, ms of the steady clock. */
   private readonly createdAt: number;
   private trust: BootTrust = 'unknown';
-  /** Looks in a row at which the boot clock went as the steady one did. */
-  private evenLooks = 0;
-  /** Looks in a row at which it did not, and nothing bore it out. */
-  private oddLooks = 0;
+  /** Consecutive samples in which the boot clock was consistent with the steady clock. */
+  private consistentSamples = 0;
+  /** Consecutive samples in which only the boot clock was ahead of the steady clock. */
+  private unconfirmedLeads = 0;
 
   /**
-   * @param note - is told of suspensions and steps
-   * @param readings - of the VM
+   * @param report - receives suspensions, steps of the wall clock and changes of trust
+   * @param readings - clocks of the VM
    */
   constructor(
-    private readonly note: ClockNote,
+    private readonly report: ClockNote,
     private readonly readings = VM_READINGS,
   ) {
     super();
-    this.last = this.look();
-    this.createdAt = this.last.steady;
+    this.lastSample = this.takeSample();
+    this.createdAt = this.lastSample.steady;
   }
 
   override now(): number {
     const timeOfDay = this.readings.readTimeOfDay();
     const steady = this.readings.readSteady();
-    const { last } = this;
-    const drift = timeOfDay - last.timeOfDay - (steady - last.steady);
-    if (Math.abs(drift) <= DRIFT_MS && steady - last.steady < this.findLookMs(steady))
+    const { lastSample } = this;
+    const drift = timeOfDay - lastSample.timeOfDay - (steady - lastSample.steady);
+    if (
+      Math.abs(drift) <= DRIFT_TOLERANCE_MS &&
+      steady - lastSample.steady < this.findSampleIntervalMs(steady)
+    )
       return steady + this.suspendedMs;
-    this.review(last, this.look());
+    this.compareSamples(lastSample, this.takeSample());
     return this.readings.readSteady() + this.suspendedMs;
   }
 
@@ -112,24 +115,25 @@
     return new Promise((resolve) => setTimeout(resolve, ms));
   }
 
-  private findLookMs(steady: number): number {
-    const isEarly = this.trust === 'unknown' && steady - this.createdAt < EARLY_MS;
-    return isEarly ? EARLY_LOOK_MS : LOOK_MS;
+  private findSampleIntervalMs(steady: number): number {
+    const isStartup = this.trust === 'unknown' && steady - this.createdAt < STARTUP_MS;
+    return isStartup ? STARTUP_SAMPLE_INTERVAL_MS : SAMPLE_INTERVAL_MS;
   }
 
   private get isBootTrusted(): boolean {
     return this.trust === 'trusted';
   }
 
-  /** Reads all clocks as close together as it goes. */
-  private look(): Look {
+  /** Reads all clocks within `MAX_SAMPLE_SPAN_MS`, if an attempt succeeds in that. */
+  private takeSample(): ClockSample {
     const { readSteady, readTimeOfDay } = this.readings;
-    for (let tries = 1; ; tries += 1) {
+    for (let attempt = 1; ; attempt += 1) {
       const before = readSteady();
       const boot = this.readBoot();
       const timeOfDay = readTimeOfDay();
       const after = readSteady();
-      if (after - before <= TIGHT_MS || tries === TRIES) return { steady: after, timeOfDay, boot };
+      if (after - before <= MAX_SAMPLE_SPAN_MS || attempt === MAX_SAMPLE_ATTEMPTS)
+        return { steady: after, timeOfDay, boot };
     }
   }
 
@@ -137,67 +141,74 @@
     try {
       return this.readings.readBoot();
     } catch {
-      // Told as a boot clock in doubt.
+      // Reported by `updateTrust`.
       return undefined;
     }
   }
 
-  /** Compares two looks: counts a suspension between them, or notes a step of the time of day. */
-  private review(before: Look, after: Look): void {
+  /** Compares two samples: adds a suspension between them, or reports a step of the wall clock. */
+  private compareSamples(before: ClockSample, after: ClockSample): void {
     const dayDrift = findDrift(before, after, 'timeOfDay') ?? 0;
     const bootDrift = findDrift(before, after, 'boot');
     const wasUnknown = this.trust === 'unknown';
-    const isOdd = this.reviewTrust(bootDrift, dayDrift, after.steady - before.steady);
-    const relied = this.isBootTrusted || isOdd ? (bootDrift ?? dayDrift) : dayDrift;
-    const suspended = wasUnknown ? Math.max(bootDrift ?? 0, dayDrift) : relied;
-    // A boot clock that is in order never drifts but by suspensions, so small ones add up; one in doubt begins anew.
-    const keepsBoot = this.isBootTrusted && suspended <= DRIFT_MS && before.boot !== undefined;
-    const boot = keepsBoot ? before.boot + (after.steady - before.steady) : after.boot;
-    this.last = { ...after, boot };
-    if (suspended > DRIFT_MS) this.addSuspended(suspended, dayDrift);
-    else if (Math.abs(dayDrift) > DRIFT_MS) this.note('time-of-day-stepped', { ms: Math.round(dayDrift) });
+    const hasUnconfirmedLead = this.updateTrust(bootDrift, dayDrift, after.steady - before.steady);
+    const trustedDrift = this.isBootTrusted || hasUnconfirmedLead ? (bootDrift ?? dayDrift) : dayDrift;
+    const suspended = wasUnknown ? Math.max(bootDrift ?? 0, dayDrift) : trustedDrift;
+    // A trusted boot clock drifts only by suspensions, so short ones may add up over several samples.
+    const keepsBootBase = this.isBootTrusted && suspended <= DRIFT_TOLERANCE_MS && before.boot !== undefined;
+    const boot = keepsBootBase ? before.boot + (after.steady - before.steady) : after.boot;
+    this.lastSample = { ...after, boot };
+    if (suspended > DRIFT_TOLERANCE_MS) this.addSuspended(suspended, dayDrift);
+    else if (Math.abs(dayDrift) > DRIFT_TOLERANCE_MS)
+      this.report('time-of-day-stepped', { ms: Math.round(dayDrift) });
   }
 
   /**
-   * Notes how the boot clock went. It is relied on after many looks at which it went as it must, and not any more once it
-   * falls behind, cannot be read, or is ahead again and again without a step of the time of day that bears it out.
+   * Updates the trust in the boot clock. It becomes trusted after `SAMPLES_TO_TRUST` consistent samples, and
+   * doubted once it falls behind, cannot be read, or is repeatedly ahead without an equal step of the wall
+   * clock.
    *
-   * @returns whether it is ahead alone, which counts while it has been relied on
+   * @returns true if the boot clock was trusted and only it is ahead, which counts as a suspension
    */
-  private reviewTrust(bootDrift: number | undefined, dayDrift: number, elapsedMs: number): boolean {
+  private updateTrust(bootDrift: number | undefined, dayDrift: number, elapsedMs: number): boolean {
     const wasTrusted = this.isBootTrusted;
-    if (bootDrift === undefined || bootDrift < -DRIFT_MS * 2) {
+    if (bootDrift === undefined || bootDrift < -DRIFT_TOLERANCE_MS * 2) {
       this.setTrust('doubted', bootDrift);
       return false;
     }
-    if (bootDrift <= DRIFT_MS) {
-      this.oddLooks = 0;
-      if (elapsedMs < LOOK_MS) return false;
-      this.evenLooks += 1;
-      if (this.evenLooks >= LOOKS_TO_TRUST) this.setTrust('trusted', bootDrift);
+    if (bootDrift <= DRIFT_TOLERANCE_MS) {
+      this.unconfirmedLeads = 0;
+      if (elapsedMs < SAMPLE_INTERVAL_MS) return false;
+      this.consistentSamples += 1;
+      if (this.consistentSamples >= SAMPLES_TO_TRUST) this.setTrust('trusted', bootDrift);
       return false;
     }
-    if (Math.abs(bootDrift - dayDrift) <= DRIFT_MS) return false;
-    this.oddLooks += 1;
-    if (!wasTrusted || this.oddLooks >= ODD_LOOKS) this.setTrust('doubted', bootDrift);
+    if (Math.abs(bootDrift - dayDrift) <= DRIFT_TOLERANCE_MS) return false;
+    this.unconfirmedLeads += 1;
+    if (!wasTrusted || this.unconfirmedLeads >= UNCONFIRMED_LEADS_TO_DOUBT)
+      this.setTrust('doubted', bootDrift);
     return wasTrusted;
   }
 
   private setTrust(trust: BootTrust, drift: number | undefined): void {
-    if (trust === 'doubted') this.evenLooks = 0;
+    if (trust === 'doubted') this.consistentSamples = 0;
     if (trust === this.trust) return;
     this.trust = trust;
-    this.note('boot-clock', { trust, driftMs: drift === undefined ? 'unreadable' : Math.round(drift) });
+    this.report('boot-clock', { trust, driftMs: drift === undefined ? 'unreadable' : Math.round(drift) });
   }
 
   private addSuspended(ms: number, dayDrift: number): void {
     this.suspendedMs += ms;
-    this.note('suspended', { ms: Math.round(ms), timeOfDayMs: Math.round(dayDrift), bootClock: this.trust });
+    this.report('suspended', {
+      ms: Math.round(ms),
+      timeOfDayMs: Math.round(dayDrift),
+      bootClock: this.trust,
+    });
   }
 }
 
-/** How much more than the steady clock another one has counted between two looks, ms; undefined where it is not known. */
-function findDrift(before: Look, after: Look, clock: 'timeOfDay' | 'boot'): number | undefined {
+/** Computes the drift from the steady clock between two samples, ms; undefined if a reading is missing. */
+function findDrift(before: ClockSample, after: ClockSample, clock: 'timeOfDay' | 'boot'): number | undefined {
   const from = before[clock];
   const to = after[clock];
   if (from === undefined || to === undefined) return undefined;
--- a/src/_lib/Clock.ts
+++ b/src/_lib/Clock.ts
@@ -1,23 +1,23 @@
-/** Monotonic time, as an object so that tests can hold it. */
+/** Monotonic clocks, as objects that tests can replace. */
 import { performance } from 'node:perf_hooks';
 
-/** A clock that never goes back, and waits by it. */
+/** A monotonic clock. */
 export abstract class Clock {
   /**
-   * Ms since some moment of this process; never compared with another process's. Counts the time in which the VM was
-   * suspended, as everyone else does.
+   * Returns ms since an arbitrary origin, including the time in which the VM was suspended. Not comparable
+   * between processes.
    */
   abstract now(): number;
   /**
-   * Ms since some moment of this process, without the time in which the VM was suspended: what runs on the same VM counts
-   * no more than this. Never compared with `now`.
+   * Returns ms since an arbitrary origin, excluding the time in which the VM was suspended: the time that passed
+   * for processes on the same VM. Not comparable with `now`.
    */
   abstract readSteady(): number;
-  /** Resolves after at least so many ms, without suspended time. */
+  /** Resolves after at least `ms` ms, excluding suspended time. */
   abstract sleep(ms: number): Promise<void>;
 }
 
-/** The steady clock of the VM, for programs that live no longer than a test. */
+/** The steady clock of the VM, which excludes suspended time; for short-lived programs such as tests. */
 export class SteadyClock extends Clock {
   override now(): number {
     return performance.now();
--- a/src/_lib/Timeline.ts
+++ b/src/_lib/Timeline.ts
@@ -1,15 +1,15 @@
-/** Time and timers of a process, as an object so that a model can play them. */
+/** Time and timers of a process, as an object that a simulation can replace. */
 import type { Clock } from './Clock.js';
 
-/** Time that goes on, and what is to happen later. */
+/** Current time and timers. */
 export interface Timeline {
-  /** Ms since some moment of this process. */
+  /** Returns ms since an arbitrary origin. */
   now(): number;
-  /** Runs something after at least so many ms; it must not throw. */
+  /** Calls `run` after at least `delayMs` ms; it must not throw. */
   schedule(delayMs: number, run: () => void): void;
 }
 
-/** The time of a clock, with the timers of the process; these do not keep it alive. */
+/** Time of a clock and timers of the process, which do not keep the process alive. */
 export class ClockTimeline implements Timeline {
   constructor(private readonly clock: Clock) {}
 
--- a/src/_lib/assertInvariant.ts
+++ b/src/_lib/assertInvariant.ts
@@ -1,11 +1,11 @@
 import { InvariantError } from './errors.js';
 
 /**
- * Stops the program when something that must always hold does not. A dead process is a failure that the
- * other processes are built for; a wrong one is not.
+ * Throws if an invariant does not hold. Other processes tolerate the crash of a process, but not one in an
+ * inconsistent state.
  *
  * @param holds - the condition
- * @param message - what was broken, for the log
+ * @param message - the violated invariant, for the log
  * @throws InvariantError when the condition is false
  * @example
  * assertInvariant(1 + 1 === 2, 'arithmetic');
--- a/src/_lib/chooseEvenly.test.ts
+++ b/src/_lib/chooseEvenly.test.ts
@@ -4,11 +4,11 @@
 import { createRandom } from './createRandom.js';
 
 describe('chooseEvenly', () => {
-  it('takes all places when there are few', () => {
+  it('chooses all places when there are no more than the maximum', () => {
     expect(chooseEvenly([{ failureDomain: 'x', weight: 1 }], 8)).to.have.length(1);
   });
 
-  it('takes the heaviest of each domain first', () => {
+  it('chooses the place with the highest weight of each domain first', () => {
     const places = [
       { failureDomain: 'x', weight: 9 },
       { failureDomain: 'x', weight: 8 },
@@ -17,7 +17,7 @@
     expect(chooseEvenly(places, 2)).to.deep.equal([places[0], places[2]]);
   });
 
-  it('prefers no domain in a round that is not whole', () => {
+  it('prefers no domain in an incomplete round', () => {
     const nextRandom = createRandom(1);
     const domains = ['a', 'b', 'c', 'd'];
     const counts = new Map<string, number>();
--- a/src/_lib/chooseEvenly.ts
+++ b/src/_lib/chooseEvenly.ts
@@ -1,18 +1,18 @@
-/** Something that can be chosen: where it stands and how much the chooser prefers it. */
+/** A candidate with its failure domain and weight. */
 export interface WeightedPlace {
   readonly failureDomain: string;
-  /** Rendezvous weight for the chooser: a hash of both. */
+  /** Rendezvous weight: a hash of the chooser and the candidate. */
   readonly weight: number;
 }
 
 /**
- * Chooses places by rendezvous, evenly over the failure domains: in turn the one with the highest weight of each
- * domain. A round that is not whole takes the domains whose best place has the highest weight, so that no domain is
- * preferred by everyone. A change of one place moves few choices.
+ * Chooses places by rendezvous hashing, evenly over the failure domains. Each round chooses the remaining place
+ * with the highest weight of each domain. An incomplete last round chooses the domains by the weight of that
+ * place, so that no domain is preferred by all choosers. Adding or removing one place changes few choices.
  *
  * @param places - all places
- * @param max - most places to choose
- * @returns the chosen ones
+ * @param max - maximum number of places to choose
+ * @returns the chosen places
  * @example
  * chooseEvenly([{ failureDomain: 'x', weight: 1 }], 8).length; // 1
  */
--- a/src/_lib/compileMachine.ts
+++ b/src/_lib/compileMachine.ts
@@ -3,19 +3,18 @@
 
 import { assertInvariant } from './assertInvariant.js';
 
-/** Next state by state and event, read off a machine once. */
+/** Next state by state and event. */
 export type TransitionTable<State extends string, Event extends string> = ReadonlyMap<
   State,
   ReadonlyMap<Event, State>
 >;
 
 /**
- * Reads every transition of a flat xstate machine once, by xstate's own pure transition function, into a
- * table. A lookup costs some ten nanoseconds, where a live actor per task costs microseconds
- * (`npm run bench` measures both).
+ * Compiles all transitions of a flat xstate machine into a table. A lookup is much cheaper than an xstate
+ * actor per task.
  *
  * @param machine - a machine without nested states, guards or context
- * @returns the next state for each state and event that the machine defines
+ * @returns the next state by state and event
  * @example
  * compileMachine(taskMachine).get('queued')?.get('send'); // 'sent'
  */
@@ -38,11 +37,11 @@
 }
 
 /**
- * Returns the state after an event.
+ * Looks up the state after an event.
  *
  * @param table - from `compileMachine`
- * @param state - the state now
- * @param event - what happened
+ * @param state - the current state
+ * @param event - the event
  * @returns the next state
  * @throws InvariantError when the machine has no such transition
  * @example
--- a/src/_lib/createRandom.ts
+++ b/src/_lib/createRandom.ts
@@ -2,10 +2,10 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 /**
- * Creates a source of random numbers that repeats for the same seed.
+ * Creates a random number generator that is deterministic for a seed.
  *
  * @param seed - an integer
- * @returns a function that returns numbers from 0 (included) to 1 (excluded)
+ * @returns a function that returns uniform numbers in [0, 1)
  * @example
  * createRandom(1)() === createRandom(1)(); // true
  */
--- a/src/_lib/digestToWeight.ts
+++ b/src/_lib/digestToWeight.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto';
 
 /**
- * Digests a text to an even weight, the same in every process.
+ * Hashes a text to a uniform rendezvous weight that is the same in every process.
  *
- * @param text - names both sides of a choice by rendezvous
+ * @param text - the chooser and the candidate
  * @returns an unsigned 32-bit integer
  * @example
  * digestToWeight('agent-1/10.0.0.1:7520') === digestToWeight('agent-1/10.0.0.1:7520'); // true
--- a/src/_lib/equalSecrets.ts
+++ b/src/_lib/equalSecrets.ts
@@ -1,11 +1,11 @@
 import { createHash, timingSafeEqual } from 'node:crypto';
 
 /**
- * Compares two secrets in a time that does not depend on where they differ.
+ * Compares two secrets in constant time.
  *
  * @param left - one secret
  * @param right - the other
- * @returns true when they are the same
+ * @returns true when they are equal
  * @example
  * equalSecrets('a', 'b'); // false
  */
--- a/src/_lib/errors.ts
+++ b/src/_lib/errors.ts
@@ -1,23 +1,23 @@
-/** The errors of this project, all of one family. */
+/** Error classes of this project. */
 import ModernError from 'modern-errors';
 
-/** Base of every error that this project throws. */
+/** Base class of all errors of this project. */
 export const MarblehallError = ModernError.subclass('MarblehallError');
 
-/** The program is in a state that must never occur. */
+/** An invariant of the program does not hold. */
 export const InvariantError = MarblehallError.subclass('InvariantError');
 
-/** Bytes on a link are not a batch of known messages. */
+/** Received bytes are not a valid batch of known messages. */
 export const UnknownMessageError = MarblehallError.subclass('UnknownMessageError');
 
-/** The platform could not be reached, or did not understand. */
+/** A call to the platform failed or was rejected. */
 export const PlatformError = MarblehallError.subclass('PlatformError');
 
-/** No answer came in time: the connection may carry nothing any more, and others of its age neither. */
+/** A call timed out: the connection, and others opened at about the same time, may be dead. */
 export const NoAnswerError = PlatformError.subclass('NoAnswerError');
 
-/** Nobody listens where a connection was to go: nothing was sent. */
+/** The connection was refused, so nothing was sent. */
 export const ConnectionRefusedError = PlatformError.subclass('ConnectionRefusedError');
 
-/** Settings are missing or wrong; the message lists every finding. */
+/** Settings are missing or invalid; the message lists the findings. */
 export const SettingsError = MarblehallError.subclass('SettingsError');
--- a/src/_lib/finding.ts
+++ b/src/_lib/finding.ts
@@ -1,21 +1,21 @@
-/** Findings of a check: what is wrong, and where. */
+/** Findings of a validation: errors and their locations. */
 import type { ErrorObject } from 'ajv';
 
-/** Most findings that are told of one input: a hostile one must not make its answer or a log line long. */
+/** Maximum number of findings per input, which bounds the length of answers and log lines. */
 const MAX_FINDINGS = 20;
 
-/** One thing that is wrong with an input. */
+/** One error in an input. */
 export interface Finding {
-  /** JSON pointer to the place. */
+  /** JSON pointer to the location. */
   readonly pointer: string;
   readonly message: string;
 }
 
 /**
- * Turns the errors of a schema check into findings, each at the place that has to be changed.
+ * Converts the errors of a schema validation to findings.
  *
- * @param errors - of one validation
- * @returns a finding for each of the first ones
+ * @param errors - errors of one validation
+ * @returns the findings, at most `MAX_FINDINGS`
  * @example
  * listFindings(validate.errors); // [{ pointer: '/tasks/0/kind', message: 'must be string' }]
  */
@@ -32,10 +32,10 @@
 }
 
 /**
- * Renders findings for a log line or an error.
+ * Renders findings as text for a log line or an error message.
  *
- * @param findings - what is wrong
- * @returns one text with the place and the fault of each
+ * @param findings - the findings
+ * @returns one text with the location and message of each finding
  * @example
  * renderFindings([{ pointer: '/spec', message: 'must be string' }]); // '/spec: must be string'
  */
--- a/src/_lib/hash.ts
+++ b/src/_lib/hash.ts
@@ -1,4 +1,4 @@
-/** Hashing by xxHash, loaded once for the process. */
+/** Non-cryptographic hashes (xxHash). */
 import createXxHash from 'xxhash-wasm';
 
 const xxhash = await createXxHash();
@@ -6,8 +6,8 @@
 /**
  * Hashes a text to 32 bits.
  *
- * @param text - what to hash
- * @param seed - selects one hash of the family
+ * @param text - the text to hash
+ * @param seed - selects one of the family of hash functions
  * @returns an unsigned 32-bit integer
  * @example
  * hashText('a') === hashText('a'); // true
@@ -17,10 +17,10 @@
 }
 
 /**
- * Hashes a text to 64 bits, as hex.
+ * Hashes a text to 64 bits.
  *
- * @param text - what to hash
- * @returns sixteen hex digits
+ * @param text - the text to hash
+ * @returns 16 hexadecimal digits
  * @example
  * hashTextToHex('a').length; // 16
  */
--- a/src/_lib/readClock.ts
+++ b/src/_lib/readClock.ts
@@ -1,15 +1,14 @@
 import { performance } from 'node:perf_hooks';
 
-/** Largest correction towards the wall clock at one reading of `adjustClock`, ms. */
+/** Maximum correction per call of `adjustClock`, ms. */
 const MAX_STEP_MS = 1;
 
 let anchorMs = Date.now() - performance.now();
 
 /**
- * Reads a clock that never goes back and never jumps: the monotonic clock, anchored to the wall clock at the
- * start of the process.
+ * Reads the monotonic clock, anchored to the wall clock at the start of the process.
  *
- * @returns ms since the epoch, with fractions
+ * @returns ms since the epoch, fractional
  * @example
  * readClock() <= readClock(); // true
  */
@@ -18,11 +17,11 @@
 }
 
 /**
- * Moves the anchor forward a little if the wall clock is ahead, so that long-lived processes do not drift.
+ * Corrects the drift from the wall clock, by at most `MAX_STEP_MS` and only forward.
  *
- * @returns how far the wall clock is ahead after the correction, ms
+ * @returns the remaining lead of the wall clock, ms
  * @example
- * Math.abs(adjustClock()) < 1_000; // true on a VM whose clock is not being set
+ * Math.abs(adjustClock()) < 1_000; // true unless the wall clock was set
  */
 export function adjustClock(): number {
   const ahead = Date.now() - readClock();
@@ -32,9 +31,9 @@
 }
 
 /**
- * Moves the anchor by the time in which the VM was suspended, which the monotonic clock does not count.
+ * Adds the duration of a suspension of the VM, which the monotonic clock does not include.
  *
- * @param ms - that time
+ * @param ms - duration of the suspension
  * @example
  * noteSuspension(3_000);
  */
--- a/src/version/RouteIndex.ts
+++ b/src/version/RouteIndex.ts
@@ -1,14 +1,14 @@
-/** Finds the route of a request without a look at all routes: by host, then by path prefix, longest first. */
+/** Index of routes by host and path prefix, for lookups that do not scan all routes. */
 import type { QueueRoute } from './configuration.js';
 
 /** Routes of one host. */
 interface HostRoutes {
-  /** Lengths of the prefixes, longest first. */
+  /** Distinct lengths of the prefixes, descending. */
   readonly lengths: number[];
   readonly byPrefix: Map<string, QueueRoute>;
 }
 
-/** Index of the routes of one version. */
+/** Index of the routes of one configuration version. */
 export class RouteIndex {
   private readonly hosts = new Map<string, HostRoutes>();
 
@@ -16,7 +16,7 @@
     for (const route of routes) this.add(route);
   }
 
-  /** The route with the longest prefix of a path; undefined for none. The host is in lower case. */
+  /** Finds the route with the longest matching prefix; `host` must be in lower case. */
   find(host: string, path: string): QueueRoute | undefined {
     const routes = this.hosts.get(host);
     if (!routes) return undefined;
@@ -27,7 +27,7 @@
     return undefined;
   }
 
-  /** Of two routes with the same host and prefix the first one holds. */
+  /** Adds a route; ignores it if the host and prefix exist already. */
   private add(route: QueueRoute): void {
     const { host, pathPrefix } = route;
     let routes = this.hosts.get(host);
--- a/src/version/applyRecord.test.ts
+++ b/src/version/applyRecord.test.ts
@@ -35,7 +35,7 @@
 });
 
 describe('applyRecord', () => {
-  it('lets the first of two racing commands win and rejects the second, everywhere alike', () => {
+  it('accepts the first of two conflicting commands and rejects the second', () => {
     const log = buildLog(declare('d'), change('x', 0, 5), change('y', 0, 9));
     const state = applyAll(log);
     expect(state.events[0]).to.include({ startAt: 5, version: 1 });
@@ -43,18 +43,18 @@
     expect(state.results[2]?.reason).to.contain('version 1');
   });
 
-  it('gives a command that was appended twice one effect', () => {
+  it('applies a command that was appended twice only once', () => {
     const state = applyAll(buildLog(declare('d'), change('x', 0, 5), change('x', 0, 5), change('z', 1, 7)));
     expect(state.events[0]).to.include({ startAt: 7, version: 3 });
     expect(state.results).to.have.length(3);
   });
 
-  it('changes nothing for an offset that was applied before', () => {
+  it('ignores a record whose offset was already applied', () => {
     const state = applyAll(buildLog(declare('d')));
     expect(applyRecord(state, { offset: 0, at: 9, record: leave('x') })).to.equal(state);
   });
 
-  it('moves only the seats that a new registrar gains, with a new tenure', () => {
+  it('reassigns only the seats that a new registrar gains, with a new tenure', () => {
     const before = applyAll(buildLog(join('r1'), join('r2')));
     const after = applyRecord(before, { offset: 2, at: 9, record: join('r3') });
     for (let seat = 0; seat < SEAT_COUNT; seat += 1) {
@@ -64,13 +64,13 @@
     expect(after.seats.filter(({ peer }) => peer === 'r3')).to.not.be.empty;
   });
 
-  it('remembers an entry that is gone, with the time of its removal', () => {
+  it('keeps a removed entry with the time of its removal', () => {
     const state = applyAll(buildLog(join('e1', 'entry'), leave('e1'), join('e1', 'entry')));
     expect(state.entries).to.be.empty;
     expect(state.removedEntries).to.deep.equal([{ peer: 'e1', joinedOffset: 0, at: 1_001 }]);
   });
 
-  it('keeps a bounded number of results', () => {
+  it('limits the number of results', () => {
     const records = Array.from({ length: RESULTS_KEPT + 5 }, (_, index) => leave(`p${index}`));
     expect(applyAll(buildLog(...records)).results).to.have.length(RESULTS_KEPT);
   });
@@ -82,12 +82,12 @@
   const snapshot: LogRecord = { type: 'snapshot', id: 's', state: prefix };
   const log = buildLog(...records, change('y', 1, 6), snapshot, change('z', 2, 8));
 
-  it('starts from a snapshot when older records have expired, and misses none after it', () => {
+  it('starts from a snapshot when older records have expired, and applies all records after it', () => {
     const expired = log.slice(2);
     expect(followLog(createConfigState(), expired)).to.deep.equal(applyAll(log));
   });
 
-  it('stays where it is when neither records nor a snapshot reach it', () => {
+  it('keeps the state when there is a gap that no snapshot covers', () => {
     const state = createConfigState();
     expect(followLog(state, log.slice(4))).to.equal(state);
   });
@@ -97,7 +97,7 @@
     expect(followLog(state, log.slice(0, 2))).to.equal(state);
   });
 
-  it('empties a failure domain once, and takes it back', () => {
+  it('evacuates a failure domain once, and restores it', () => {
     const change = (id: string, isEmptied: boolean): LogRecord => {
       return { type: 'domain', id, failureDomain: 'north', isEmptied };
     };
@@ -108,7 +108,7 @@
     expect(back.emptiedDomains).to.deep.equal([]);
   });
 
-  it('takes a snapshot of an earlier version, which knows of no emptied domains', () => {
+  it('restores a snapshot of an earlier version without emptied domains', () => {
     const state = { ...applyAll(buildLog(join('r1'))), emptiedDomains: undefined };
     const earlier = JSON.parse(JSON.stringify(state)) as ConfigState;
     const snapshot = { type: 'snapshot', id: 's', state: earlier } as const;
--- a/src/version/applyRecord.ts
+++ b/src/version/applyRecord.ts
@@ -3,16 +3,16 @@
 import type { ConfigState, MemberConfig } from './configState.js';
 import type { DomainRecord, EventRecord, JoinRecord, LeaveRecord, LogEntry } from './logRecord.js';
 
-/** The part of the state that a record changed, or why it was rejected. */
+/** The changed fields of the state, or the reason why the record is rejected. */
 type Outcome = Partial<ConfigState> | string;
 
 /**
- * Applies one record of the log. Every process calls it with the same records in the same order, so every
- * process sees the same winner of a race. A record at or below the state's offset changes nothing.
+ * Applies one record of the log. It is deterministic: all processes apply the same records in the same order
+ * and so accept the same commands. A record at or below the offset of the state is ignored.
  *
  * @param state - the configuration before the record
  * @param entry - the record with its offset and log time
- * @returns the configuration after it
+ * @returns the configuration after the record
  * @example
  * applyRecord(createConfigState(), { offset: 0, at: 1, record }).offset; // 0
  */
@@ -53,7 +53,7 @@
   }
   if (hasPeer(state.registrars, record.peer) || hasPeer(state.standbys, record.peer))
     return 'already a registrar';
-  return settleRegistrars(state, state.registrars, [...state.standbys, member], offset);
+  return fillRegistrars(state, state.registrars, [...state.standbys, member], offset);
 }
 
 function decideLeave(state: ConfigState, record: LeaveRecord, offset: number, at: number): Outcome {
@@ -64,7 +64,7 @@
     return { entries: withoutPeer(state.entries, peer), removedEntries: [...state.removedEntries, removed] };
   }
   if (!hasPeer(state.registrars, peer) && !hasPeer(state.standbys, peer)) return 'not a member';
-  return settleRegistrars(
+  return fillRegistrars(
     state,
     withoutPeer(state.registrars, peer),
     withoutPeer(state.standbys, peer),
@@ -72,8 +72,8 @@
   );
 }
 
-/** Fills the registrars from the standbys up to the bound, and assigns the seats. */
-function settleRegistrars(
+/** Promotes standbys up to `MAX_REGISTRARS` and assigns the seats. */
+function fillRegistrars(
   state: ConfigState,
   registrars: readonly MemberConfig[],
   standbys: readonly MemberConfig[],
--- a/src/version/assignSeats.ts
+++ b/src/version/assignSeats.ts
@@ -2,13 +2,13 @@
 import type { MemberConfig, SeatTenure } from './configState.js';
 
 /**
- * Gives each seat to the registrar with the highest rendezvous weight, so that a change of one registrar
- * moves only the seats that it gains or loses. A seat that stays keeps its tenure.
+ * Assigns each seat to the registrar with the highest rendezvous weight, so that adding or removing a registrar
+ * moves only the seats that it gains or loses. A seat whose registrar does not change keeps its tenure.
  *
- * @param seats - the tenures so far
- * @param registrars - the registrars now
+ * @param seats - the current tenures
+ * @param registrars - the new registrars
  * @param offset - offset of the record that changed the registrars
- * @returns the tenures after it
+ * @returns the new tenures
  * @example
  * assignSeats(seats, [], 4).every((seat) => seat.peer === ''); // true
  */
--- a/src/version/chooseAgents.test.ts
+++ b/src/version/chooseAgents.test.ts
@@ -8,14 +8,14 @@
 }));
 
 describe('chooseAgents', () => {
-  it('uses the failure domains evenly', () => {
+  it('chooses evenly over the failure domains', () => {
     const chosen = chooseAgents(agents, 'entry-1', 64);
     for (let domain = 0; domain < 8; domain += 1) {
       expect(chosen.filter(({ failureDomain }) => failureDomain === `d${domain}`)).to.have.length(8);
     }
   });
 
-  it('changes one choice when one chosen agent goes', () => {
+  it('changes one choice when a chosen agent is removed', () => {
     const before = chooseAgents(agents, 'entry-1', 64);
     const gone = before[0];
     const after = chooseAgents(
@@ -26,7 +26,7 @@
     expect(after.filter((agent) => !before.includes(agent))).to.have.length(1);
   });
 
-  it('reaches every agent with enough entries', () => {
+  it('covers nearly all agents with enough entries', () => {
     const reached = new Set(
       Array.from({ length: 120 }, (_, entry) => chooseAgents(agents, `entry-${entry}`, 64)).flat(),
     );
--- a/src/version/chooseAgents.ts
+++ b/src/version/chooseAgents.ts
@@ -8,12 +8,12 @@
 }
 
 /**
- * Chooses the agents that an entry links to, by rendezvous and evenly over the failure domains.
+ * Chooses the agents that an entry links to, by rendezvous hashing and evenly over the failure domains.
  *
  * @param agents - all live agents
  * @param entry - process id of the entry
- * @param max - most agents to choose
- * @returns the chosen ones
+ * @param max - maximum number of agents to choose
+ * @returns the chosen agents
  * @example
  * chooseAgents([{ id: 'a', failureDomain: 'x' }], 'entry-1', 8).length; // 1
  */
--- a/src/version/configState.ts
+++ b/src/version/configState.ts
@@ -1,29 +1,29 @@
 /**
- * The configuration that every process derives from the platform's log: who is a registrar, who is an
- * entry, which events exist. It is plain data, so that a snapshot is its JSON.
+ * The configuration that every process derives from the platform's log: members, seats and events. It is plain
+ * data, so that it can be stored as a JSON snapshot.
  */
 
 /** One kind of request that an event expects. */
 export interface KindConfig {
   readonly name: string;
-  /** Service the kind belongs to. */
+  /** Service that runs tasks of this kind. */
   readonly service: string;
   /** Operator priority: 0 is served first. */
   readonly priority: number;
-  /** Default deadline of a job's answer, in ms after its submission. */
+  /** Default deadline of a job, ms after its submission. */
   readonly deadlineMs: number;
   /** Whether the caller may repeat the request under another job key. */
   readonly repeatable: boolean;
-  /** Declared duration of one task in ms; used until a measured one is known. */
+  /** Expected duration of a task, ms; used until a measured duration is available. */
   readonly expectedMs: number;
 }
 
 /** One event with a fixed start. */
 export interface EventConfig {
   readonly name: string;
-  /** Start, in ms since the epoch. Jobs that arrive earlier are held until then. */
+  /** Start, ms since the epoch. Jobs that arrive earlier are held until then. */
   readonly startAt: number;
-  /** End, in ms since the epoch; 0 for none. Later jobs are refused. */
+  /** End, ms since the epoch; 0 for none. Later jobs are refused. */
   readonly endAt: number;
   readonly services: readonly string[];
   readonly kinds: readonly KindConfig[];
@@ -31,43 +31,43 @@
   readonly version: number;
 }
 
-/** A process that the log knows as a member. */
+/** A process that joined through the log. */
 export interface MemberConfig {
   /** Process id and incarnation, as `id@incarnation`. */
   readonly peer: string;
   /** `host:port` of its links. */
   readonly address: string;
-  /** Offset of the record that admitted it. */
+  /** Offset of its join record. */
   readonly joinedOffset: number;
 }
 
-/** An entry that is no longer a member. Its claims may be known to nobody. */
+/** An entry that is no longer a member. Its claims may not be recorded at any registrar. */
 export interface RemovedEntry {
   readonly peer: string;
-  /** Offset of the record that had admitted it. */
+  /** Offset of its join record. */
   readonly joinedOffset: number;
-  /** Log time of the removal, in ms since the epoch. */
+  /** Log time of the removal, ms since the epoch. */
   readonly at: number;
 }
 
-/** Which registrar holds a seat, and since when. */
+/** The registrar that holds a seat, and the start of its tenure. */
 export interface SeatTenure {
-  /** Peer of the registrar, or an empty string while there is none. */
+  /** Peer of the registrar; empty if there is none. */
   readonly peer: string;
-  /** Offset of the record that gave it the seat. */
+  /** Offset of the record that assigned the seat. */
   readonly sinceOffset: number;
 }
 
-/** What became of an operator's or a process's command. */
+/** Result of a command of an operator or a process. */
 export interface CommandResult {
   readonly id: string;
   readonly offset: number;
   readonly accepted: boolean;
-  /** Why it was rejected; empty when accepted. */
+  /** Reason of the rejection; empty if accepted. */
   readonly reason: string;
 }
 
-/** The whole configuration after the record at `offset`. */
+/** The complete configuration after the record at `offset`. */
 export interface ConfigState {
   /** Offset of the last record applied; -1 before the first. */
   readonly offset: number;
@@ -77,26 +77,26 @@
   readonly removedEntries: readonly RemovedEntry[];
   readonly seats: readonly SeatTenure[];
   readonly events: readonly EventConfig[];
-  /** Failure domains in which nothing is started. */
+  /** Evacuated failure domains, in which no task is started. */
   readonly emptiedDomains: readonly string[];
-  /** The newest results, oldest first, at most `RESULTS_KEPT`. */
+  /** The latest results, oldest first, at most `RESULTS_KEPT`. */
   readonly results: readonly CommandResult[];
 }
 
-/** Number of seats that job keys hash to. Fixed for the life of a log. */
+/** Number of seats that job keys hash to. Must not change while a log exists. */
 export const SEAT_COUNT = 64;
 
-/** Most registrars that hold seats at once; later ones stand by. */
+/** Maximum number of registrars that hold seats; further ones are standbys. */
 export const MAX_REGISTRARS = 32;
 
-/** How many command results the state keeps, for resolving lost append answers. */
+/** Number of command results kept, to resolve commands whose append was not acknowledged. */
 export const RESULTS_KEPT = 256;
 
-/** How long a removed entry is remembered, in ms of log time. Longer than any dedupe horizon. */
+/** Retention of removed entries, ms of log time. Must exceed every deduplication horizon. */
 export const REMOVED_ENTRY_KEPT_MS = 3_600_000;
 
 /**
- * Returns the configuration before the first record.
+ * Creates the configuration before the first record.
  *
  * @returns the empty state, at offset -1
  * @example
--- a/src/version/configuration.ts
+++ b/src/version/configuration.ts
@@ -1,27 +1,27 @@
-/** The operators' configuration of queues and services, as every process holds it. One version is immutable. */
+/** The operators' configuration of queues and services. Each version is immutable. */
 
-/** Where jobs of one kind enter, and how they are treated. */
+/** Route and properties of one queue. */
 export interface QueueRoute {
   readonly name: string;
-  /** Host name that callers address, lower case. */
+  /** Host name of the requests, lower case. */
   readonly host: string;
-  /** Start of the paths that belong to the queue. */
+  /** Path prefix of the requests. */
   readonly pathPrefix: string;
   /** Service whose upstreams run the tasks. */
   readonly service: string;
-  /** 0 goes first. */
+  /** Priority; 0 is the highest. */
   readonly priority: number;
-  /** Runs of a task that may fail before its job fails. */
+  /** Number of failed runs of a task after which its job fails. */
   readonly maxAttempts: number;
-  /** Factor of the work in a job's latency objective. */
+  /** Factor of a job's work in its latency objective. */
   readonly stretch: number;
   /** Constant part of a job's latency objective, ms. */
   readonly targetLatencyMs: number;
-  /** Whether an external adviser decides which upstreams may run a step. */
+  /** Whether an external adviser selects the upstreams of a step. */
   readonly needsAdvice: boolean;
 }
 
-/** Bounds of what a caller may send. */
+/** Limits of requests. */
 export interface CallerLimits {
   readonly maxBodyBytes: number;
   readonly headerTimeoutMs: number;
@@ -30,7 +30,7 @@
 
 /** One version of the configuration. */
 export interface Configuration {
-  /** Rises with every change, in uneven steps. */
+  /** Increases with every change, not necessarily by one. */
   readonly version: number;
   readonly routes: readonly QueueRoute[];
   readonly limits: CallerLimits;
--- a/src/version/emptiedDomains.ts
+++ b/src/version/emptiedDomains.ts
@@ -1,26 +1,26 @@
-/** Failure domains that the operators have emptied: nothing is started there until they are taken back. */
+/** Failure domains that the operators evacuated: no task is started there until they are restored. */
 
-/** All emptied failure domains at one point of what the operators have written. */
+/** All evacuated failure domains at one revision. */
 export interface EmptiedDomains {
-  /** Number of the operators' records that are taken into account; of two lists, the one with more is the newer. */
+  /** Number of the operators' records applied; a list with a higher revision is newer. */
   readonly revision: number;
   readonly domains: readonly string[];
 }
 
-/** One record of the operators: a failure domain is emptied, or taken back. */
+/** Record of an operator that evacuates or restores a failure domain. */
 export interface DomainChange {
-  /** Number of the operators' records up to this one, itself included. */
+  /** Number of the operators' records up to and including this one. */
   readonly revision: number;
   readonly domain: string;
   readonly isEmptied: boolean;
 }
 
 /**
- * Applies a record to the list that it may be newer than.
+ * Applies a record to a list of evacuated failure domains.
  *
- * @param list - what is known
+ * @param list - the current list
  * @param change - the record
- * @returns the newer list, or the one that was given if the record is in it already
+ * @returns the new list, or `list` itself if the record is not newer
  * @example
  * applyDomainChange({ revision: 4, domains: [] }, { revision: 7, domain: 'north', isEmptied: true });
  * // { revision: 7, domains: ['north'] }
--- a/src/version/findRoute.test.ts
+++ b/src/version/findRoute.test.ts
@@ -12,8 +12,8 @@
   return { version: 1, routes, limits: LIMITS };
 }
 
-/** What the index stands for: a look at every route. */
-function lookAtAll({ routes }: Configuration, host: string, path: string): QueueRoute | undefined {
+/** Reference implementation: a linear search of all routes. */
+function findRouteLinearly({ routes }: Configuration, host: string, path: string): QueueRoute | undefined {
   let best: QueueRoute | undefined;
   for (const route of routes) {
     if (route.host !== host || !path.startsWith(route.pathPrefix)) continue;
@@ -23,7 +23,7 @@
 }
 
 describe('findRoute', () => {
-  it('takes the longest prefix of the host, in any case of letters', () => {
+  it('finds the longest prefix of the host, ignoring the case of the host', () => {
     const configuration = createConfiguration([
       ['a.example', '/q/'],
       ['a.example', '/q/long/'],
@@ -35,12 +35,14 @@
     expect(findRoute(configuration, 'a.example', '/')).to.equal(undefined);
   });
 
-  it('agrees with a linear search of all routes', () => {
+  it('returns the same route as a linear search', () => {
     const host = fc.constantFrom('a', 'b');
     const path = fc.array(fc.constantFrom('/', 'x', 'y'), { maxLength: 6 }).map((parts) => parts.join(''));
     const property = fc.property(fc.array(fc.tuple(host, path)), host, path, (places, wanted, asked) => {
       const configuration = createConfiguration(places);
-      expect(findRoute(configuration, wanted, asked)).to.equal(lookAtAll(configuration, wanted, asked));
+      expect(findRoute(configuration, wanted, asked)).to.equal(
+        findRouteLinearly(configuration, wanted, asked),
+      );
     });
     fc.assert(property, { numRuns: 2_000, seed: 18 });
   });
--- a/src/version/findRoute.ts
+++ b/src/version/findRoute.ts
@@ -1,16 +1,16 @@
 import type { Configuration, QueueRoute } from './configuration.js';
 import { RouteIndex } from './RouteIndex.js';
 
-/** Index of each version that requests are served by, built with the first of them. */
+/** Index of each configuration version, built on first use. */
 const INDEXES = new WeakMap<Configuration, RouteIndex>();
 
 /**
- * Finds the queue of a request: the longest path prefix among the routes of its host.
+ * Finds the queue of a request: the route of its host with the longest matching path prefix.
  *
- * @param configuration - version in force
- * @param host - host name the caller addressed, without a port
+ * @param configuration - current configuration
+ * @param host - host name of the request, without a port
  * @param path - path of the request
- * @returns the route, or undefined if no queue has this address
+ * @returns the route, or undefined if none matches
  * @example
  * findRoute(configuration, 'a.example', '/quotes/17')?.name; // 'quotes'
  */
--- a/src/version/followLog.ts
+++ b/src/version/followLog.ts
@@ -4,12 +4,12 @@
 import { restoreState } from './restoreState.js';
 
 /**
- * Brings a configuration up to date with records read from the log. Where the next record has expired, the
- * newest snapshot among those read takes its place.
+ * Updates a configuration with records read from the log. If the next record has expired, the newest snapshot
+ * among the records is used instead.
  *
- * @param config - the configuration so far
+ * @param config - the current configuration
  * @param entries - records in offset order
- * @returns the newer configuration, or the same one when the records do not reach it
+ * @returns the new configuration, or `config` itself if there is a gap that no snapshot covers
  * @example
  * followLog(createConfigState(), []).offset; // -1
  */
--- a/src/version/listServices.ts
+++ b/src/version/listServices.ts
@@ -1,9 +1,9 @@
 import type { Configuration } from './configuration.js';
 
 /**
- * Lists the services that a configuration names.
+ * Lists the services of a configuration.
  *
- * @param configuration - any version
+ * @param configuration - the configuration
  * @returns each service once, in the order of the routes
  * @example
  * listServices(configuration); // new Set(['quotes'])
--- a/src/version/logRecord.ts
+++ b/src/version/logRecord.ts
@@ -1,8 +1,8 @@
-/** The records on the platform's log. Each carries the id of the command that wrote it. */
+/** Records of the platform's log. Each contains the id of the command that wrote it. */
 import type { ConfigState, EventConfig } from './configState.js';
 
 interface RecordBase {
-  /** Unique id of the command; a second record with the same id has no effect. */
+  /** Unique id of the command; further records with the same id are ignored. */
   readonly id: string;
 }
 
@@ -24,19 +24,19 @@
 export interface EventRecord extends RecordBase {
   readonly type: 'event';
   readonly action: 'declare' | 'change' | 'end';
-  /** Version of the event that a change or end was decided on. */
+  /** Version of the event that a change or end is based on; it is rejected for any other version. */
   readonly decidedOn: number;
   readonly event: EventConfig;
 }
 
-/** An operator empties a failure domain, so that nothing is started there, or takes it back. */
+/** An operator evacuates a failure domain, so that no task is started there, or restores it. */
 export interface DomainRecord extends RecordBase {
   readonly type: 'domain';
   readonly failureDomain: string;
   readonly isEmptied: boolean;
 }
 
-/** The whole state after the record before it, so that older records may expire. */
+/** The complete state at `state.offset`, so that older records may expire. */
 export interface SnapshotRecord extends RecordBase {
   readonly type: 'snapshot';
   readonly state: ConfigState;
@@ -45,10 +45,10 @@
 /** Any record of the log. */
 export type LogRecord = JoinRecord | LeaveRecord | EventRecord | DomainRecord | SnapshotRecord;
 
-/** A record with the place and time that the log gave it. */
+/** A record with its offset and time in the log. */
 export interface LogEntry {
   readonly offset: number;
-  /** Log time of the append, in ms since the epoch. */
+  /** Time of the append by the log's clock, ms since the epoch. */
   readonly at: number;
   readonly record: LogRecord;
 }
--- a/src/version/restoreState.ts
+++ b/src/version/restoreState.ts
@@ -4,11 +4,11 @@
 import type { LogEntry } from './logRecord.js';
 
 /**
- * Derives the configuration from what the log still retains: the newest snapshot whose successor is still
- * there, and every record after the offset that the snapshot covers.
+ * Restores the configuration from the retained records: the newest snapshot without a gap to the first retained
+ * record, and all records after the snapshot's offset.
  *
  * @param entries - all retained records in offset order
- * @returns the state, or undefined when the records before the first one are gone and no snapshot covers them
+ * @returns the state, or undefined if earlier records have expired and no snapshot covers them
  * @example
  * restoreState([])?.offset; // -1
  */
@@ -19,7 +19,7 @@
     if (record.type !== 'snapshot') continue;
     if (record.state.offset + 1 < first) continue;
     if (base && base.offset >= record.state.offset) continue;
-    // Snapshots of earlier versions lack what was added to the state since.
+    // Snapshots of earlier versions may lack fields that were added later.
     base = { ...createConfigState(), ...record.state };
   }
   if (!base) return undefined;
