--- a/src/bin/commands/check.ts
+++ b/src/bin/commands/check.ts
@@ -29,10 +29,7 @@
  */
 export function addCheckCommand(cli: CAC): void {
   cli
-    .command(
-      'check <...files>',
-      'Check settings files and report every finding with its file and JSON pointer',
-    )
+    .command('check <...files>', 'Check settings files and list findings with file and JSON pointer')
     .option('--role <role>', `${ROLES.join(' | ')}; by default derived from the file name`)
     .action(async (files: string[], { role }: CheckFlags) => {
       const findings = await Promise.all(files.map((file) => checkFile(file, role)));
--- a/src/bin/commands/explain.ts
+++ b/src/bin/commands/explain.ts
@@ -11,10 +11,7 @@
  */
 export function addExplainCommand(cli: CAC): void {
   cli
-    .command(
-      'explain <job> <...files>',
-      'Print the log lines of a job in chronological order and the cause of its outcome',
-    )
+    .command('explain <job> <...files>', 'Print the log lines of a job and the cause of its outcome')
     .action(async (job: string, files: string[]) => {
       const explanation = explainJob(String(job), await readLogFiles(files));
       for (const { time, process, event, fields } of explanation.lines) {
--- a/src/bin/commands/load.ts
+++ b/src/bin/commands/load.ts
@@ -38,13 +38,9 @@
     .option('--seed <number>', 'seed of the plan, incremented in each round', { default: 1 })
     .option('--seconds <number>', 'amount of work, in seconds of all slots', { default: 10 })
     .option('--utilization <share>', 'steady: arriving work relative to capacity', { default: 0.7 })
-    .option(
-      '--policies <names>',
-      `policies to compare, separated by commas: ${Object.keys(POLICIES).join(', ')}`,
-      {
-        default: 'product',
-      },
-    )
+    .option('--policies <names>', `policies, comma-separated: ${Object.keys(POLICIES).join(', ')}`, {
+      default: 'product',
+    })
     .option('--rounds <number>', 'number of runs of each policy', { default: 1 })
     .option('--entries <number>', 'number of entries', { default: 2 })
     .option('--agents <number>', 'number of agents', { default: 11 })
--- a/src/bin/commands/report.ts
+++ b/src/bin/commands/report.ts
@@ -15,10 +15,7 @@
  */
 export function addReportCommand(cli: CAC): void {
   cli
-    .command(
-      'report <...files>',
-      'Summarize the logs of dispatchers: late, refused and waiting jobs over time',
-    )
+    .command('report <...files>', 'Summarize dispatcher logs: late, refused and waiting jobs over time')
     .option('--window <seconds>', 'length of the time window of a row, s', { default: 2 })
     .action(async (files: string[], { window }: ReportFlags) => {
       console.log(renderLogReport(buildLogReport(await readLogFiles(files), Number(window))));
