--- a/src/process/ConfigurationExchange.test.ts
+++ b/src/process/ConfigurationExchange.test.ts
@@ -6,11 +6,11 @@
 import { encodeConfiguration } from '../connection/peer/packedConfiguration.js';
 import type { Configuration } from '../version/configuration.js';
 import { ConfigurationExchange } from './ConfigurationExchange.js';
-import type { PeerChannel } from './NewestExchange.js';
+import type { PeerChannel } from './VersionExchange.js';
 
 const LIMITS = { maxBodyBytes: 1_000, headerTimeoutMs: 1_000, idleTimeoutMs: 1_000 };
-/** Longer than an executor puts off the text of a version that nothing follows. */
-const SETTLED_MS = 2_500;
+/** Longer than the delay after which an executor fetches a text. */
+const DELAYED_FETCH_MS = 2_500;
 const SUMMARY_REQUEST = { type: 'configuration-request', position: 0, isUrgent: true };
 
 function createConfiguration(version: number, routes = 0): Configuration {
@@ -35,14 +35,14 @@
     return new ConfigurationExchange(
       { usesRoutes, linkMbps: 100, timeline: time, nextRandom: () => 0.5 },
       {
-        noteAdopted: (version) => adopted.push(version),
-        noteServices: () => undefined,
-        noteFault: (_, problem) => faults.push(problem),
+        handleAdopted: (version) => adopted.push(version),
+        recordServices: () => undefined,
+        recordFault: (_, problem) => faults.push(problem),
       },
     );
   }
 
-  it('never goes back', () => {
+  it('adopts only newer versions', () => {
     const exchange = createExchange();
     expect(exchange.adopt(createConfiguration(4))).to.equal(true);
     expect(exchange.adopt(createConfiguration(3))).to.equal(false);
@@ -50,7 +50,7 @@
     expect(exchange.version).to.equal(4);
   });
 
-  it('asks a peer that is ahead, and one peer at a time', () => {
+  it('sends a request to a peer that is ahead, and no second one at once', () => {
     const exchange = createExchange();
     exchange.adopt(createConfiguration(4));
     exchange.compareVersion(4, channel, 0);
@@ -62,16 +62,16 @@
     expect(sent).to.have.length(2);
   });
 
-  it('asks ever more seldom for a version that nobody can deliver', () => {
+  it('backs off while no peer delivers a reported version', () => {
     const exchange = createExchange();
     for (let now = 0; now < 60_000; now += 50) {
       exchange.compareVersion(7, channel, now);
-      exchange.takeSummary({ type: 'configuration-summary', version: -1 }, channel);
+      exchange.handleSummary({ type: 'configuration-summary', version: -1 }, channel);
     }
     expect(sent.length).to.be.within(12, 20);
   });
 
-  it('asks again at once for what is newer than an answer', () => {
+  it('requests a newer version immediately after an answer', () => {
     const exchange = createExchange();
     exchange.compareVersion(7, channel, 10);
     exchange.adopt(createConfiguration(7));
@@ -79,7 +79,7 @@
     expect(sent).to.have.length(2);
   });
 
-  it('tells which version it has and what that names, if any, and not the routes', () => {
+  it('sends a summary of the held version, if any, without the routes', () => {
     const exchange = createExchange();
     exchange.sendVersion(channel);
     expect(sent).to.deep.equal([]);
@@ -90,18 +90,18 @@
     expect(sent).to.deep.equal([{ type: 'configuration-summary', version: 4, services, length }]);
   });
 
-  it('tells all of it to a peer of an earlier version, whichever form it keeps', () => {
+  it('sends the whole configuration to a peer of an earlier version, whether it uses the routes or not', () => {
     for (const usesRoutes of [true, false]) {
       sent = [];
       const exchange = createExchange(usesRoutes);
       exchange.adopt(createConfiguration(4, 3));
-      exchange.answer({ type: 'configuration-request' }, channel);
+      exchange.handleRequest({ type: 'configuration-request' }, channel);
       expect(sent).to.deep.equal([{ type: 'configuration', configuration: createConfiguration(4, 3) }]);
     }
   });
 
   describe('between processes', () => {
-    /** Messages take a ms; what a test cuts or changes on their way. */
+    /** Changes a message in transit, or drops it; each message takes 1 ms. */
     let change: (message: PeerMessage) => PeerMessage | undefined;
     let pieces: number;
 
@@ -110,7 +110,7 @@
       pieces = 0;
     });
 
-    /** Links two; returns the channels that each has to the other. */
+    /** Links two exchanges; returns the channels to the second and to the first. */
     function link(a: ConfigurationExchange, b: ConfigurationExchange): [PeerChannel, PeerChannel] {
       const toB: PeerChannel = { send: (message) => pass(message, b, () => toA) };
       const toA: PeerChannel = { send: (message) => pass(message, a, () => toB) };
@@ -122,15 +122,15 @@
       const changed = change(message);
       if (!changed) return;
       time.schedule(1, () => {
-        if (changed.type === 'configuration-request') to.answer(changed, back());
-        if (changed.type === 'configuration-summary') to.takeSummary(changed, back());
-        if (changed.type === 'configuration-piece') to.takePiece(changed, back());
+        if (changed.type === 'configuration-request') to.handleRequest(changed, back());
+        if (changed.type === 'configuration-summary') to.handleSummary(changed, back());
+        if (changed.type === 'configuration-piece') to.handlePiece(changed, back());
         if (changed.type === 'configuration') to.adopt(changed.configuration);
       });
     }
 
-    /** Has one hear what others hold, as echoes tell it, for some ms. */
-    function echo(
+    /** Reports the versions of the peers to an exchange repeatedly, as pongs do, for some ms. */
+    function reportVersions(
       to: ConfigurationExchange,
       from: readonly (readonly [ConfigurationExchange, PeerChannel])[],
       ms: number,
@@ -148,55 +148,55 @@
       return exchange;
     }
 
-    it('fetches a version piece by piece, and passes it on from one that keeps the text only', () => {
+    it('fetches a version in pieces, also from a process that stores only the text', () => {
       const [source, relay, last] = [create(3), create(1, 10, false), create(0)];
       const [, toSource] = link(source, relay);
-      echo(relay, [[source, toSource]], 300);
+      reportVersions(relay, [[source, toSource]], 300);
       expect([relay.version, relay.services?.has('service-of-3')]).to.deep.equal([1, true]);
-      echo(relay, [[source, toSource]], SETTLED_MS);
+      reportVersions(relay, [[source, toSource]], DELAYED_FETCH_MS);
       expect([relay.version, relay.newest]).to.deep.equal([3, undefined]);
       const [, toRelay] = link(relay, last);
-      echo(last, [[relay, toRelay]], 1_000);
+      reportVersions(last, [[relay, toRelay]], 1_000);
       expect(last.newest).to.deep.equal(createConfiguration(3, 1_500));
       expect(adopted).to.deep.equal([3, 3]);
     });
 
-    it('puts off no short text', () => {
+    it('does not delay the fetch of a short text', () => {
       const [source, relay] = [create(3, 10), create(1, 10, false)];
       const [, toSource] = link(source, relay);
-      echo(relay, [[source, toSource]], 300);
+      reportVersions(relay, [[source, toSource]], 300);
       expect(relay.version).to.equal(3);
     });
 
-    it('puts off nothing while it holds nothing', () => {
+    it('does not delay the fetch while it holds no version', () => {
       const [source, relay] = [create(3), create(0, 0, false)];
       const [, toSource] = link(source, relay);
-      echo(relay, [[source, toSource]], 500);
+      reportVersions(relay, [[source, toSource]], 500);
       expect(relay.version).to.equal(3);
     });
 
-    it('goes on at another peer when the first one is cut off in the middle, and asks nothing twice', () => {
+    it('continues with another peer after a lost link, without fetching received pieces again', () => {
       const [first, second, reader] = [create(3), create(3), create(0)];
       const [, toFirst] = link(first, reader);
       const [, toSecond] = link(second, reader);
       change = (message) => (message.type === 'configuration-piece' && pieces > 2 ? undefined : message);
-      echo(reader, [[first, toFirst]], 200);
+      reportVersions(reader, [[first, toFirst]], 200);
       expect(reader.version).to.equal(-1);
       const whole = Math.ceil(encodeConfiguration(createConfiguration(3, 1_500)).length / 8_192);
       change = (message) => message;
       reader.handleClosed(toFirst);
-      echo(reader, [[second, toSecond]], 1_000);
+      reportVersions(reader, [[second, toSecond]], 1_000);
       expect(reader.version).to.equal(3);
       // One piece was lost with the link.
       expect(pieces).to.equal(whole + 1);
     });
 
-    it('asks another peer when one that is alive sends no piece', () => {
+    it('switches to another peer when a connected one sends no piece', () => {
       const [first, second, reader] = [create(3), create(3), create(0)];
       const [, toFirst] = link(first, reader);
       const [, toSecond] = link(second, reader);
       change = (message) => (message.type === 'configuration-piece' && pieces === 1 ? undefined : message);
-      echo(
+      reportVersions(
         reader,
         [
           [first, toFirst],
@@ -207,18 +207,18 @@
       expect([reader.version, faults]).to.deep.equal([3, ['sends nothing']]);
     });
 
-    it('drops what it has of a version when a newer one is there', () => {
+    it('abandons a transfer when a newer version appears', () => {
       const [source, reader] = [create(3), create(0)];
       const [, toSource] = link(source, reader);
       change = (message) => {
         if (pieces === 2) source.adopt(createConfiguration(9, 1_500));
         return message;
       };
-      echo(reader, [[source, toSource]], 2_000);
+      reportVersions(reader, [[source, toSource]], 2_000);
       expect([reader.version, adopted, faults]).to.deep.equal([9, [9], []]);
     });
 
-    it('keeps what it holds when a text does not unpack, and asks another peer', () => {
+    it('keeps the held version when a text is invalid, and fetches from another peer', () => {
       for (const usesRoutes of [true, false]) {
         faults = [];
         const [wrong, right] = [create(7), create(7)];
@@ -229,34 +229,34 @@
           message.type === 'configuration-piece'
             ? { ...message, text: 'A'.repeat(message.text.length) }
             : message;
-        echo(reader, [[wrong, toWrong]], SETTLED_MS + 1_000);
+        reportVersions(reader, [[wrong, toWrong]], DELAYED_FETCH_MS + 1_000);
         expect([reader.version, faults.length]).to.deep.equal([3, 1]);
         change = (message) => message;
-        echo(reader, [[wrong, toWrong]], 1_000);
+        reportVersions(reader, [[wrong, toWrong]], 1_000);
         expect(reader.version, 'asked again at once').to.equal(3);
-        echo(reader, [[right, toRight]], SETTLED_MS);
+        reportVersions(reader, [[right, toRight]], DELAYED_FETCH_MS);
         expect(reader.version).to.equal(7);
       }
     });
 
-    it('takes an earlier version when nobody has the newest any more', () => {
+    it('fetches an earlier version when no peer has the newest any more', () => {
       const [newest, other, reader] = [create(9), create(7), create(3)];
       const [, toNewest] = link(newest, reader);
       const [, toOther] = link(other, reader);
       change = (message) => (message.type === 'configuration-piece' ? undefined : message);
-      echo(reader, [[newest, toNewest]], 300);
+      reportVersions(reader, [[newest, toNewest]], 300);
       reader.handleClosed(toNewest);
       change = (message) => message;
-      echo(reader, [[other, toOther]], 7_000);
+      reportVersions(reader, [[other, toOther]], 7_000);
       expect(reader.version).to.equal(7);
     });
 
-    it('takes what a peer of an earlier version sends whole', () => {
+    it('adopts a whole configuration from a peer of an earlier version', () => {
       const [source, reader] = [create(7), create(3, 10, false)];
       const [, toSource] = link(source, reader);
-      // A process of an earlier version knows no fields of a request.
+      // Processes of earlier versions ignore the fields of a request.
       change = (message) => (message.type === 'configuration-request' ? { type: message.type } : message);
-      echo(reader, [[source, toSource]], 2_000);
+      reportVersions(reader, [[source, toSource]], 2_000);
       expect([reader.version, reader.services?.has('service-of-7')]).to.deep.equal([7, true]);
     });
 
@@ -266,19 +266,19 @@
       source.adopt({ version: 7, routes, limits: LIMITS });
       const reader = create(3, 10, false);
       const [, toSource] = link(source, reader);
-      echo(reader, [[source, toSource]], SETTLED_MS + 500);
+      reportVersions(reader, [[source, toSource]], DELAYED_FETCH_MS + 500);
       expect([reader.version, reader.services?.size]).to.deep.equal([7, 200]);
     });
 
-    it('serves a peer that cannot serve without it before others', () => {
+    it('handles urgent requests first', () => {
       const source = create(3);
       const order: string[] = [];
       const listen = (name: string): PeerChannel => ({
         send: ({ type }) => type === 'configuration-piece' && order.push(name),
       });
       const request = { type: 'configuration-request', version: 3, position: 0 } as const;
-      for (const name of ['a', 'b']) source.answer(request, listen(name));
-      source.answer({ ...request, isUrgent: true }, listen('urgent'));
+      for (const name of ['a', 'b']) source.handleRequest(request, listen(name));
+      source.handleRequest({ ...request, isUrgent: true }, listen('urgent'));
       time.runUntil(1_000);
       expect(order).to.deep.equal(['a', 'urgent', 'b']);
     });
--- a/src/process/DaemonBase.ts
+++ b/src/process/DaemonBase.ts
@@ -1,4 +1,4 @@
-/** What entries and agents share as daemons: log, metrics, links, turns, life cycle, health. */
+/** Common base of the entry and agent daemons: logging, metrics, links, turn loop, lifecycle and health endpoints. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -22,37 +22,37 @@
 import type { ProcessMetrics } from './metrics.js';
 import { processMachine } from './processMachine.js';
 import type { CommonSettings } from './settings/settings.js';
-import { Turns } from './Turns.js';
+import { TurnLoop } from './TurnLoop.js';
 
-/** Between two reports of metrics, ms. */
+/** Interval of metric reports, ms. */
 const REPORT_MS = 1_000;
-/** Every so many of them the platform is told that the VM is live. */
-const LIVE_REPORTS = 2;
-/** How often a drain looks whether it is done, ms. */
+/** Number of metric reports per liveness report to the platform. */
+const REPORTS_PER_LIVE_REPORT = 2;
+/** Interval at which a planned stop checks whether the work in progress has ended, ms. */
 const DRAIN_POLL_MS = 20;
 
-/** Exit code after a broken invariant; a supervisor starts the process anew. */
+/** Exit code after a broken invariant; a supervisor restarts the process. */
 export const EXIT_INVARIANT = 70;
 
-/** What a daemon may be given by whoever embeds it. */
+/** Options for embedding a daemon. */
 export interface DaemonOptions {
-  /** Where log lines go; standard output by default. */
+  /** Destination of log lines; standard output by default. */
   readonly sink?: LineSink;
-  /** How long the platform may hold an empty read of the log, ms. */
+  /** Long-poll timeout for reads of the log, ms. */
   readonly pollMs?: number;
-  /** Called instead of ending the process when the daemon cannot go on. */
+  /** Called on a fatal error instead of exiting the process. */
   readonly onFailure?: (error: unknown) => void;
 }
 
-/** Common part of both daemons. */
+/** Daemon with the parts common to entry and agent. */
 export abstract class DaemonBase {
   readonly peer: string;
   readonly hub: LinkHub;
   protected readonly logger: ProcessLogger;
   protected readonly metrics: ProcessMetrics;
   protected readonly platform: PlatformClient;
-  protected readonly turns: Turns;
-  protected readonly life: ActorRefFrom<typeof processMachine>;
+  protected readonly turns: TurnLoop;
+  protected readonly lifecycle: ActorRefFrom<typeof processMachine>;
   protected address = '';
   private readonly follower: LogFollower;
   private readonly server: Server;
@@ -79,9 +79,9 @@
     const isBusy = (): boolean => this.isBusy();
     const end = (now: number): void => this.endTurn(now);
     const fail = (error: unknown): void => this.fail(error);
-    const pause = (gapMs: number): void => this.notePause(gapMs);
-    this.turns = new Turns({ tick, isBusy, end, pause, fail }, settings.pauseBoundMs);
-    this.life = createActor(processMachine);
+    const pause = (gapMs: number): void => this.handlePause(gapMs);
+    this.turns = new TurnLoop({ tick, isBusy, end, pause, fail }, settings.pauseBoundMs);
+    this.lifecycle = createActor(processMachine);
     this.follower = new LogFollower(this.platform, {
       nextOffset: () => this.configOffset + 1,
       apply: (entries, sentAt) => this.turns.run(() => this.applyLog(entries, sentAt)),
@@ -91,22 +91,22 @@
     this.server = createServer((request, response) => this.handleHttp(request, response));
   }
 
-  /** Port of the HTTP server once it listens. */
+  /** Port of the HTTP server; 0 until it listens. */
   get httpPort(): number {
     return (this.server.address() as AddressInfo | null)?.port ?? 0;
   }
 
-  /** `host:port` of the links once they are accepted. */
+  /** `host:port` that accepts links; empty until it listens. */
   get linkAddress(): string {
     return this.address;
   }
 
-  /** Counters of the process, as `GET /statsz` shows them. */
+  /** Builds the statistics that `GET /statsz` returns. */
   buildStats(): Record<string, unknown> {
     const { user, system } = process.cpuUsage();
     return {
       process: this.peer,
-      state: this.life.getSnapshot().value,
+      state: this.lifecycle.getSnapshot().value,
       configOffset: this.configOffset,
       cpuMs: (user + system) / 1_000,
       rssBytes: process.memoryUsage.rss(),
@@ -117,10 +117,10 @@
     };
   }
 
-  /** Starts to listen, to follow the log and to report itself live. */
+  /** Starts listening, following the log and reporting liveness. */
   async start(): Promise<void> {
     const { host, httpPort, linkPort } = this.settings.listen;
-    this.life.start();
+    this.lifecycle.start();
     const port = await this.hub.listen(host, linkPort);
     this.address = `${host}:${port}`;
     await new Promise<void>((resolve, reject) => {
@@ -134,10 +134,10 @@
     this.logger.info('started', { address: this.address, httpPort: this.httpPort });
   }
 
-  /** Stops as planned: finishes what is in progress, then ends. */
+  /** Stops gracefully: finishes the work in progress, up to the drain timeout. */
   async stop(): Promise<void> {
-    if (this.life.getSnapshot().value === 'leaving') return;
-    this.life.send({ type: 'leave' });
+    if (this.lifecycle.getSnapshot().value === 'leaving') return;
+    this.lifecycle.send({ type: 'leave' });
     this.logger.info('leaving');
     void this.reportLive(true);
     await this.beginLeaving();
@@ -147,7 +147,7 @@
     await this.end();
   }
 
-  /** Ends at once, as a crash would. */
+  /** Stops immediately, without finishing the work in progress. */
   async end(): Promise<void> {
     this.follower.stop();
     this.turns.stop();
@@ -160,7 +160,7 @@
     });
     await this.platform.close();
     await this.following?.catch(() => undefined);
-    if (this.life.getSnapshot().value === 'leaving') this.life.send({ type: 'drain' });
+    if (this.lifecycle.getSnapshot().value === 'leaving') this.lifecycle.send({ type: 'drain' });
     this.logger.flush();
     this.metrics.close();
   }
@@ -168,14 +168,14 @@
   protected abstract readonly role: 'entry' | 'agent';
   protected abstract get configOffset(): number;
   protected abstract buildHello(): Hello;
-  /** Creates what needs the address. */
+  /** Creates the parts that need the link address. */
   protected abstract prepare(): void;
   protected abstract openLink(hello: Hello, now: number): void;
   protected abstract closeLink(peer: string, now: number): void;
   protected abstract receive(peer: string, messages: readonly Message[], now: number): void;
   protected abstract applyLog(entries: readonly LogEntry[], now: number): void;
   protected abstract tick(now: number): void;
-  /** Whether ticks have to come often. */
+  /** Whether ticks are needed at the short interval. */
   protected abstract isBusy(): boolean;
   protected abstract endTurn(now: number): void;
   protected abstract revalidate(): void;
@@ -183,10 +183,10 @@
   protected abstract isDrained(): boolean;
   protected abstract isReady(): boolean;
   protected abstract reportMetrics(): void;
-  /** Handles a request that is not about health; returns false when there is no such path. */
+  /** Handles a request other than the health endpoints; returns false for an unknown path. */
   protected abstract routeHttp(request: IncomingMessage, response: ServerResponse, path: string): boolean;
 
-  /** Appends a record; the node proposes it again when it has no effect. */
+  /** Appends a record to the log. A failure is only logged; the node proposes the record again. */
   protected append(record: LogRecord): void {
     this.logger.info('propose', { record: record.type, id: record.id });
     this.platform.append(record).catch((error: unknown) => {
@@ -194,14 +194,15 @@
     });
   }
 
-  /** Repeats something until the process ends. */
+  /** Runs a function at an interval until the daemon ends. */
   protected every(ms: number, run: () => void): void {
     this.timers.push(setInterval(run, ms));
   }
 
   private report(): void {
     this.reports += 1;
-    if (this.reports % LIVE_REPORTS === 1) void this.reportLive(this.life.getSnapshot().value === 'leaving');
+    if (this.reports % REPORTS_PER_LIVE_REPORT === 1)
+      void this.reportLive(this.lifecycle.getSnapshot().value === 'leaving');
     const skewMs = adjustClock();
     this.metrics.gauge('clock_ahead_ms', skewMs);
     this.metrics.gauge('rss_bytes', process.memoryUsage.rss());
@@ -212,9 +213,9 @@
     this.reportMetrics();
     this.metrics.flush();
     const ready = this.isReady();
-    const { value } = this.life.getSnapshot();
-    if (ready && value === 'joining') this.life.send({ type: 'join' });
-    if (!ready && value === 'ready') this.life.send({ type: 'lose' });
+    const { value } = this.lifecycle.getSnapshot();
+    if (ready && value === 'joining') this.lifecycle.send({ type: 'join' });
+    if (!ready && value === 'ready') this.lifecycle.send({ type: 'lose' });
   }
 
   private async reportLive(leaving: boolean): Promise<void> {
@@ -223,7 +224,7 @@
     await this.platform.reportLive(vm).catch(() => undefined);
   }
 
-  private notePause(gapMs: number): void {
+  private handlePause(gapMs: number): void {
     this.logger.warn('paused', { gapMs: Math.round(gapMs) });
     this.metrics.increment('pauses');
     this.revalidate();
@@ -236,7 +237,7 @@
     this.logger.flush();
     if (this.options.onFailure) return this.options.onFailure(error);
     process.exitCode = EXIT_INVARIANT;
-    // Nothing that this process still holds may be acted on.
+    // The state may be inconsistent, so exit without running further handlers.
     process.exit(EXIT_INVARIANT);
   }
 
@@ -244,7 +245,7 @@
     const path = new URL(request.url ?? '/', 'http://local').pathname;
     if (path === '/healthz') return writeJson(response, 200, '{"healthy":true}');
     if (path === '/readyz') {
-      const ready = this.life.getSnapshot().value !== 'leaving' && this.isReady();
+      const ready = this.lifecycle.getSnapshot().value !== 'leaving' && this.isReady();
       return writeJson(response, ready ? 200 : 503, JSON.stringify({ ready }));
     }
     if (path === '/statsz') return writeJson(response, 200, JSON.stringify(this.buildStats()));
--- a/src/process/DomainExchange.ts
+++ b/src/process/DomainExchange.ts
@@ -1,9 +1,9 @@
 import type { PeerMessage } from '../connection/peer/peerMessages.js';
 import type { EmptiedDomains } from '../version/emptiedDomains.js';
-import { NewestExchange } from './NewestExchange.js';
+import { VersionExchange } from './VersionExchange.js';
 
-/** Newest list of emptied failure domains of one process. */
-export class DomainExchange extends NewestExchange<EmptiedDomains> {
+/** Holds the newest list of emptied failure domains and exchanges it with peers. */
+export class DomainExchange extends VersionExchange<EmptiedDomains> {
   protected override readVersion({ revision }: EmptiedDomains): number {
     return revision;
   }
--- a/src/process/LocalCluster.ts
+++ b/src/process/LocalCluster.ts
@@ -1,4 +1,4 @@
-/** Entries, agents and stand-ins in one process, for a newcomer and for small tests. */
+/** Runs entries, agents and stand-ins in one process, for local use and small tests. */
 import { PlatformStandin } from '../../standins/platform/PlatformStandin.js';
 import { UpstreamStandin } from '../../standins/upstream/UpstreamStandin.js';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -11,12 +11,12 @@
 import { EntryDaemon } from './entry/EntryDaemon.js';
 import { readSettings } from './settings/readSettings.js';
 
-/** Failure domains that the processes are spread over. */
+/** Failure domains assigned to the processes in turn. */
 const DOMAINS = ['bern', 'olten', 'aarau'];
-/** Longest wait for the cluster to be ready, ms. */
+/** Longest wait until the cluster is ready, ms. */
 const READY_MS = 20_000;
 
-/** A cluster in this process. */
+/** Cluster whose processes all run in the current one. */
 export class LocalCluster {
   readonly entries: EntryDaemon[] = [];
   readonly agents: AgentDaemon[] = [];
@@ -26,12 +26,12 @@
 
   constructor(private readonly options: LocalOptions) {}
 
-  /** Address of an entry. */
+  /** Returns the URL of an entry. */
   entryUrl(index = 0): string {
     return `http://127.0.0.1:${this.entries[index]?.httpPort ?? 0}`;
   }
 
-  /** Starts everything, waits until every entry is ready, and opens the event. */
+  /** Starts all processes, waits until every entry is ready, and declares the default event. */
   async start(): Promise<void> {
     const platformSettings = await readSettings('platform', undefined, { port: 0, liveLagMs: 50 });
     this.platform = new PlatformStandin(platformSettings);
@@ -43,19 +43,19 @@
     await this.runCommand(OPENING_COMMAND);
   }
 
-  /** Stops everything as planned. */
+  /** Stops all entries gracefully, then everything else. */
   async stop(): Promise<void> {
     await Promise.all(this.entries.map((entry) => entry.stop()));
     await this.end();
   }
 
-  /** Ends everything at once. */
+  /** Stops everything immediately. */
   async end(): Promise<void> {
     await Promise.all([...this.entries, ...this.agents].map((daemon) => daemon.end()));
     await Promise.all(this.servers.map((server) => server.stop()));
   }
 
-  /** Runs an operator's statement at the first entry. */
+  /** Runs an operator command at the first entry. */
   async runCommand(text: string): Promise<unknown> {
     const headers = { authorization: `Bearer ${LOCAL_SECRET}` };
     const body = JSON.stringify({ text });
@@ -65,7 +65,7 @@
     return answer;
   }
 
-  /** Starts every task count of the upstreams, by task id. */
+  /** Returns how often the upstreams started each task, by task id. */
   async readStarts(): Promise<Map<string, number>> {
     const starts = new Map<string, number>();
     for (const upstream of this.upstreams) {
--- a/src/process/LogFollower.ts
+++ b/src/process/LogFollower.ts
@@ -1,28 +1,28 @@
-/** Reads the platform's log for as long as the process lives. */
+/** Follows the platform's log by long polling. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import type { PlatformClient } from '../connection/PlatformClient.js';
 import type { LogEntry } from '../version/logRecord.js';
 
-/** How long the platform may hold an empty read, ms; well under the lease, which a read renews. */
+/** Long-poll timeout of a process that holds a lease, ms; well below the lease, which each read renews. */
 export const LEASED_POLL_MS = 1_000;
-/** The same for a process that holds no lease: it only keeps the configuration for its peers. */
+/** Long-poll timeout of a process without a lease, which only stores the configuration for its peers, ms. */
 export const IDLE_POLL_MS = 10_000;
-/** Wait after a failed read, ms. */
+/** Delay after a failed read, ms. */
 const RETRY_MS = 250;
 
-/** What a follower needs of its process. */
+/** Callbacks and options of a follower. */
 export interface LogReader {
-  /** Next offset wanted. */
+  /** Returns the next offset to read. */
   readonly nextOffset: () => number;
-  /** Records of one read, possibly none; `sentAt` is when the read was sent. */
+  /** Applies the entries of one read, possibly none; `sentAt` is when the read was sent. */
   readonly apply: (entries: readonly LogEntry[], sentAt: number) => void;
   readonly now: () => number;
-  /** How long the platform may hold an empty read, ms. */
+  /** Long-poll timeout, ms. */
   readonly pollMs: number;
 }
 
-/** Long-polls the log. */
+/** Reads the log until it is stopped. */
 export class LogFollower {
   private stopped = false;
 
@@ -31,7 +31,7 @@
     private readonly reader: LogReader,
   ) {}
 
-  /** Reads until `stop`. */
+  /** Reads the log until `stop` is called; retries failed reads. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Ends after the read in progress. */
+  /** Stops after the read in progress. */
   stop(): void {
     this.stopped = true;
   }
--- a/src/process/LogRateLimiter.ts
+++ b/src/process/LogRateLimiter.ts
@@ -1,20 +1,20 @@
-/** Bounds how many lines of one kind are written each second; what is left out is counted. */
+/** Limits how many log lines of one kind are written each second, and counts the skipped ones. */
 
 const SECOND_MS = 1_000;
 
-/** Budget of one kind of line. */
+/** Rate limiter for one kind of log line. */
 export class LogRateLimiter {
   private windowAt = 0;
   private used = 0;
   private skipped = 0;
 
-  /** @param perSecond - lines that are written each second */
+  /** @param perSecond - most lines written each second */
   constructor(private readonly perSecond: number) {}
 
   /**
-   * Asks for one line.
+   * Requests permission to write one line.
    *
-   * @returns whether to write it, and how many were left out since the last one that was
+   * @returns whether to write it, and how many lines were skipped since the last one written
    */
   take(now: number): { readonly write: boolean; readonly skipped: number } {
     if (now - this.windowAt >= SECOND_MS) {
--- a/src/process/MemberTable.ts
+++ b/src/process/MemberTable.ts
@@ -1,47 +1,47 @@
 /**
- * The other entries, as an entry knows them: from its settings, and from peers that have a working link to
- * them. Only a working link counts as a sign of life, so that a gone entry fades from every table.
+ * Addresses of the other dispatchers, from the settings and from peers that have a working link to them. An address that
+ * is no longer reported expires, so that a removed dispatcher disappears from every table.
  */
 import type { DispatcherPlace } from '../connection/peer/peerMessages.js';
 
-/** How long a reported address is kept without a new report, ms. */
-const KEEP_MS = 15_000;
+/** Time after which an address that is no longer reported is removed, ms. */
+const EXPIRY_MS = 15_000;
 
 interface Member {
   readonly place: DispatcherPlace;
-  readonly heardAt: number;
+  readonly reportedAt: number;
 }
 
-/** Known entries. */
+/** Table of known dispatchers. */
 export class MemberTable {
   private readonly members = new Map<string, Member>();
 
-  private turn = 0;
+  private nextIndex = 0;
 
   /**
-   * Takes entries that a peer reports.
+   * Records dispatchers reported by a peer.
    *
-   * @returns those that were not known
+   * @returns those that were not known before
    */
   record(places: readonly DispatcherPlace[], now: number): DispatcherPlace[] {
     const fresh = places.filter(({ address }) => !this.members.has(address));
-    for (const place of places) this.members.set(place.address, { place, heardAt: now });
+    for (const place of places) this.members.set(place.address, { place, reportedAt: now });
     return fresh;
   }
 
-  /** Entries that were reported of late. */
+  /** Lists the dispatchers whose report has not expired. */
   list(now: number): DispatcherPlace[] {
-    for (const [address, { heardAt }] of this.members)
-      if (now - heardAt > KEEP_MS) this.members.delete(address);
+    for (const [address, { reportedAt: heardAt }] of this.members)
+      if (now - heardAt > EXPIRY_MS) this.members.delete(address);
     return [...this.members.values()].map(({ place }) => place);
   }
 
-  /** Some of the entries that were reported of late, others with each call. */
+  /** Selects up to `count` of the listed dispatchers, in rotation over successive calls. */
   selectNext(count: number, now: number): DispatcherPlace[] {
     const places = this.list(now);
     if (places.length <= count) return places;
-    const start = this.turn % places.length;
-    this.turn = start + count;
+    const start = this.nextIndex % places.length;
+    this.nextIndex = start + count;
     return [...places, ...places].slice(start, start + count);
   }
 }
--- a/src/process/OperatorExchange.test.ts
+++ b/src/process/OperatorExchange.test.ts
@@ -22,14 +22,14 @@
     });
   });
 
-  it('has no configuration in force until it is known which domains are emptied', () => {
+  it('has no configuration in force until the emptied domains are known', () => {
     exchange.adoptConfiguration(CONFIGURATION, 'store');
     expect(exchange.configuration).to.equal(undefined);
     exchange.adoptEmptied({ revision: 3, domains: [] }, 'peer');
     expect(exchange.configuration).to.equal(CONFIGURATION);
   });
 
-  it('takes records one after another, two changes of one domain among them', () => {
+  it('applies successive changes, including several of one domain', () => {
     exchange.adoptEmptied({ revision: 3, domains: [] }, 'store');
     exchange.changeDomain({ revision: 5, domain: 'north', isEmptied: true }, 'store');
     exchange.changeDomain({ revision: 6, domain: 'north', isEmptied: false }, 'store');
@@ -37,7 +37,7 @@
     expect(lists).to.deep.equal([[], ['north'], [], ['north']]);
   });
 
-  it('never goes back, whether by a list that is behind or by a record that comes late', () => {
+  it('ignores an older list and a late change', () => {
     exchange.adoptEmptied({ revision: 7, domains: ['north'] }, 'peer');
     exchange.adoptEmptied({ revision: 5, domains: [] }, 'store');
     exchange.changeDomain({ revision: 6, domain: 'north', isEmptied: false }, 'store');
@@ -46,12 +46,12 @@
     expect(exchange.emptied?.domains).to.deep.equal([]);
   });
 
-  it('takes no record before the first list, which tells more', () => {
+  it('ignores changes before the first list', () => {
     exchange.changeDomain({ revision: 8, domain: 'north', isEmptied: true }, 'store');
     expect(exchange.emptied).to.equal(undefined);
   });
 
-  it('asks a peer for what is newer there, and tells a peer what it asks for', () => {
+  it('requests a newer list from a peer, and sends its own on request', () => {
     exchange.compareVersions({ version: -1, emptiedRevision: 7 }, channel, 0);
     expect(sent).to.deep.equal([{ type: 'emptied-request' }]);
     const emptied = { revision: 7, domains: ['north'] };
@@ -60,7 +60,7 @@
     expect(sent.at(-1)).to.deep.equal({ type: 'emptied', emptied });
   });
 
-  it('asks nothing of peers of earlier versions, which tell no list', () => {
+  it('sends no request to peers of earlier versions, which report no revision', () => {
     exchange.compareVersions({ version: -1 }, channel, 0);
     expect(sent).to.deep.equal([]);
   });
--- a/src/process/OperatorExchange.ts
+++ b/src/process/OperatorExchange.ts
@@ -1,7 +1,6 @@
 /**
- * What one process knows of the operators' word: the newest configuration, and which failure domains are emptied. Both
- * travel on the links between processes, each with a version of its own, so that a process without a path to the store
- * learns them from any peer.
+ * Holds the operators' state in one process: the newest configuration and the list of emptied failure domains. Both are
+ * versioned and replicated over the links, so that a process without access to the store receives them from any peer.
  */
 import type { PeerMessage } from '../connection/peer/peerMessages.js';
 import type { Configuration } from '../version/configuration.js';
@@ -12,25 +11,25 @@
 import { ConfigurationExchange } from './ConfigurationExchange.js';
 import type { ExchangeOptions } from './ConfigurationExchange.js';
 import { DomainExchange } from './DomainExchange.js';
-import type { PeerChannel } from './NewestExchange.js';
+import type { PeerChannel } from './VersionExchange.js';
 
-/** Where a process has the operators' word from. */
+/** Source of an update. */
 export type UpdateSource = 'store' | 'peer';
 
-/** What the process does with what is new. */
+/** Handlers of updates. */
 export interface OperatorEvents {
   readonly changeConfiguration: (configuration: Configuration, before: number, from: UpdateSource) => void;
-  /** The list is newer than the one before; it may name the same domains. */
+  /** The list is newer than the previous one; it may contain the same domains. */
   readonly changeEmptied: (emptied: EmptiedDomains, from: UpdateSource) => void;
-  /** A version has come whole to a process that keeps it only to pass it on. */
-  readonly keepConfiguration?: (version: number, before: number) => void;
+  /** A process that does not use routes has received a complete version. */
+  readonly recordConfiguration?: (version: number, before: number) => void;
   /** The services of a version are known. */
   readonly recordServices?: (version: number, count: number) => void;
   /** A configuration could not be fetched from a peer. */
   readonly recordFault?: (version: number, problem: string) => void;
 }
 
-/** A process that uses the routes, on a link that pieces never fill. */
+/** Options of a process that uses the routes, on a fast link. */
 const DEFAULT_OPTIONS: ExchangeOptions = {
   usesRoutes: true,
   linkMbps: 1_000,
@@ -38,15 +37,15 @@
   nextRandom: () => 0.5,
 };
 
-/** Versions that both sides of a link tell. */
+/** Versions that both sides of a link report. */
 export interface ReportedVersions {
-  /** Of the configuration; -1 for none. */
+  /** Version of the configuration; -1 for none. */
   readonly version: number;
-  /** Of the list of emptied failure domains; -1 for none. Processes of earlier versions tell none. */
+  /** Revision of the list of emptied failure domains; -1 for none; undefined for peers of earlier versions. */
   readonly emptiedRevision?: number | undefined;
 }
 
-/** The operators' word in one process. */
+/** Newest operators' state of one process. */
 export class OperatorExchange {
   private readonly configurations: ConfigurationExchange;
   private readonly domains = new DomainExchange();
@@ -56,21 +55,21 @@
     options: ExchangeOptions = DEFAULT_OPTIONS,
   ) {
     this.configurations = new ConfigurationExchange(options, {
-      noteAdopted: (version, before) => this.noteAdopted(version, before),
-      noteServices: (version, count) => this.events.recordServices?.(version, count),
-      noteFault: (version, problem) => this.events.recordFault?.(version, problem),
+      handleAdopted: (version, before) => this.handleAdopted(version, before),
+      recordServices: (version, count) => this.events.recordServices?.(version, count),
+      recordFault: (version, problem) => this.events.recordFault?.(version, problem),
     });
   }
 
   /**
-   * The configuration in force; undefined until it is also known which failure domains are emptied, since nothing may
-   * be started before.
+   * The configuration in force; undefined until the list of emptied failure domains is known, since no task may be
+   * started before.
    */
   get configuration(): Configuration | undefined {
     return this.domains.newest && this.configurations.newest;
   }
 
-  /** Services of the newest configuration that is known, held whole or not; undefined before the first. */
+  /** Services of the newest known configuration, complete or not; undefined before the first. */
   get services(): ReadonlySet<string> | undefined {
     return this.configurations.services;
   }
@@ -80,62 +79,62 @@
     return this.domains.newest;
   }
 
-  /** Versions to tell with a ping or an echo. */
+  /** Versions to report with a ping or pong. */
   get versions(): Required<ReportedVersions> {
     return { version: this.configurations.version, emptiedRevision: this.domains.version };
   }
 
-  /** Takes a configuration, unless it is older than the one that is held. */
+  /** Adopts a configuration if it is newer than the held one. */
   adoptConfiguration(configuration: Configuration, from: UpdateSource): void {
     const before = this.configurations.version;
     if (!this.configurations.adopt(configuration)) return;
     if (this.configurations.newest) this.events.changeConfiguration(configuration, before, from);
-    else this.events.keepConfiguration?.(configuration.version, before);
+    else this.events.recordConfiguration?.(configuration.version, before);
   }
 
-  /** Takes a list of emptied failure domains, unless it is older than the one that is held. */
+  /** Adopts a list of emptied failure domains if it is newer than the held one. */
   adoptEmptied(emptied: EmptiedDomains, from: UpdateSource): void {
     if (this.domains.adopt(emptied)) this.events.changeEmptied(emptied, from);
   }
 
-  /** Takes a record on one failure domain; before the first whole list it says too little. */
+  /** Applies a change of one failure domain; ignored before the first complete list. */
   changeDomain(change: DomainChange, from: UpdateSource): void {
     const { newest } = this.domains;
     if (newest) this.adoptEmptied(applyDomainChange(newest, change), from);
   }
 
-  /** A peer has told its versions: asks for what is newer there. */
+  /** Compares the versions reported by a peer, and requests what is newer. */
   compareVersions({ version, emptiedRevision }: ReportedVersions, channel: PeerChannel, now: number): void {
     this.configurations.compareVersion(version, channel, now);
     if (emptiedRevision !== undefined) this.domains.compareVersion(emptiedRevision, channel, now);
   }
 
-  /** A link is gone. */
+  /** Handles a closed link. */
   handleClosed(channel: PeerChannel): void {
     this.configurations.handleClosed(channel);
   }
 
-  /** Tells a peer what is known: all emptied failure domains, and which configuration. */
+  /** Sends a peer the list of emptied failure domains and the summary of the configuration. */
   sendVersions(channel: PeerChannel): void {
     this.domains.sendNewest(channel);
     this.configurations.sendVersion(channel);
   }
 
   /**
-   * Takes a message about the operators' word.
+   * Handles a message about the configuration or emptied failure domains.
    *
-   * @returns false if the message is about something else
+   * @returns false if the message is of another type
    */
   receive(message: PeerMessage, channel: PeerChannel): boolean {
     switch (message.type) {
       case 'configuration-request':
-        this.configurations.answer(message, channel);
+        this.configurations.handleRequest(message, channel);
         return true;
       case 'configuration-summary':
-        this.configurations.takeSummary(message, channel);
+        this.configurations.handleSummary(message, channel);
         return true;
       case 'configuration-piece':
-        this.configurations.takePiece(message, channel);
+        this.configurations.handlePiece(message, channel);
         return true;
       case 'emptied-request':
         this.domains.sendNewest(channel);
@@ -151,10 +150,10 @@
     }
   }
 
-  /** What has come in pieces is in force like what has come from the store. */
-  private noteAdopted(version: number, before: number): void {
+  /** Reports a version received in pieces in the same way as one from the store. */
+  private handleAdopted(version: number, before: number): void {
     const { newest } = this.configurations;
     if (newest) this.events.changeConfiguration(newest, before, 'peer');
-    else this.events.keepConfiguration?.(version, before);
+    else this.events.recordConfiguration?.(version, before);
   }
 }
--- a/src/process/PauseGuard.ts
+++ b/src/process/PauseGuard.ts
@@ -1,36 +1,33 @@
-/**
- * Notices that a process has stood still, so that what it missed is read before anything is decided on what it
- * knew before.
- */
+/** Detects pauses of the process, so that pending input is read before decisions are made on stale state. */
 
-/** Gap between two looks from which on a process counts as having stood still, ms. */
-const PAUSE_MS = 250;
-/** Turns of the loop in which waiting input is read before decisions are made again. */
+/** Shortest gap between two updates that counts as a pause, ms. */
+const MIN_PAUSE_MS = 250;
+/** Turns of the event loop in which pending input is read after a pause. */
 const CATCH_UP_TURNS = 3;
 
-/** Watches the time between the turns of one process; `look` has to be called at least every `PAUSE_MS` / 2. */
+/** Detects pauses from the time between updates; `update` must be called at least every `MIN_PAUSE_MS` / 2. */
 export class PauseGuard {
   private lastAt: number;
   private turnsLeft = 0;
 
   constructor(
     now: number,
-    private readonly notePause: (gapMs: number) => void,
+    private readonly handlePause: (gapMs: number) => void,
   ) {
     this.lastAt = now;
   }
 
-  /** Whether decisions have to wait. */
+  /** Whether pending input is still being read, so that decisions must wait. */
   get isCatchingUp(): boolean {
     return this.turnsLeft > 0;
   }
 
-  /** Looks at the time at the head of a turn. */
+  /** Checks for a pause at the start of a turn. */
   update(now: number): void {
     const gapMs = now - this.lastAt;
     this.lastAt = now;
-    if (gapMs <= PAUSE_MS) return;
-    this.notePause(gapMs);
+    if (gapMs <= MIN_PAUSE_MS) return;
+    this.handlePause(gapMs);
     if (this.turnsLeft === 0) setImmediate(() => this.endTurn());
     this.turnsLeft = CATCH_UP_TURNS;
   }
--- a/src/process/PieceRateLimiter.ts
+++ b/src/process/PieceRateLimiter.ts
@@ -1,31 +1,34 @@
-/** How large a piece of a large message may be, and how soon another one may follow, on a link of some bandwidth. */
+/** Limits the size and rate of the pieces of a large message by the bandwidth of the link. */
 
-/** Share of the link that pieces may take: the rest is for pings, starts and results. */
-const LINK_SHARE = 0.2;
-/** Time that one piece may take on the link, ms: what comes just behind it is late by as much. */
-const PIECE_MS = 8;
-/** Least and most characters of a piece: each costs a message, and the loops of both sides some time. */
-const MIN_PIECE = 512;
-const MAX_PIECE = 8_192;
-/** Bytes of a piece beside its text. */
-const HEAD_BYTES = 120;
+/** Share of the link's bandwidth for pieces; the rest is for pings, starts and results. */
+const PIECES_LINK_SHARE = 0.2;
+/** Longest transmission time of one piece, ms; a message behind it is delayed by as much. */
+const MAX_PIECE_MS = 8;
+/** Shortest and longest piece, characters. */
+const MIN_PIECE_LENGTH = 512;
+const MAX_PIECE_LENGTH = 8_192;
+/** Bytes of a piece besides its text. */
+const HEADER_BYTES = 120;
 
-/** Pace on one VM's link. */
+/** Rate limiter for the pieces on one VM's link. */
 export class PieceRateLimiter {
   private readonly bytesPerMs: number;
 
-  /** @param linkMbps - of the VM's link, Mbit/s */
+  /** @param linkMbps - bandwidth of the VM's link, Mbit/s */
   constructor(linkMbps: number) {
     this.bytesPerMs = (linkMbps * 1_000) / 8;
   }
 
-  /** Most characters of a piece. */
+  /** Longest piece on this link, characters. */
   get pieceLength(): number {
-    return Math.min(MAX_PIECE, Math.max(MIN_PIECE, Math.floor(this.bytesPerMs * PIECE_MS) - HEAD_BYTES));
+    return Math.min(
+      MAX_PIECE_LENGTH,
+      Math.max(MIN_PIECE_LENGTH, Math.floor(this.bytesPerMs * MAX_PIECE_MS) - HEADER_BYTES),
+    );
   }
 
-  /** Time from one piece to the next, ms. */
-  findMs(length: number): number {
-    return (length + HEAD_BYTES) / (this.bytesPerMs * LINK_SHARE);
+  /** Computes the interval from a piece of the given length to the next one, ms. */
+  computeIntervalMs(length: number): number {
+    return (length + HEADER_BYTES) / (this.bytesPerMs * PIECES_LINK_SHARE);
   }
 }
--- a/src/process/PieceSender.test.ts
+++ b/src/process/PieceSender.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 
 import { FakeTimeline } from '../../test/fakes/FakeTimeline.js';
-import type { PeerChannel } from './NewestExchange.js';
+import type { PeerChannel } from './VersionExchange.js';
 import { PieceRateLimiter } from './PieceRateLimiter.js';
 import { PieceSender } from './PieceSender.js';
 
@@ -9,24 +9,24 @@
 
 describe('PieceSender', () => {
   for (const mbps of [2, 17.5, 1_000]) {
-    it(`takes a fifth of a link of ${mbps} Mbit/s, and its pieces little of it at once`, () => {
+    it(`uses at most a fifth of a link of ${mbps} Mbit/s, in short pieces`, () => {
       const time = new FakeTimeline();
-      const pace = new PieceRateLimiter(mbps);
-      const sender = new PieceSender(pace, time);
+      const limiter = new PieceRateLimiter(mbps);
+      const sender = new PieceSender(limiter, time);
       const bytesPerMs = (mbps * 1_000) / 8;
-      expect(pace.pieceLength / bytesPerMs).to.be.at.most(8);
+      expect(limiter.pieceLength / bytesPerMs).to.be.at.most(8);
       let bytes = 0;
       const served = [0, 0, 0, 0];
       served.forEach((_, at) => {
         const channel: PeerChannel = {
           send: () => {
-            bytes += pace.pieceLength;
+            bytes += limiter.pieceLength;
             served[at] = (served[at] ?? 0) + 1;
             time.schedule(1, ask);
           },
         };
         const ask = (): void => {
-          sender.add(channel, false, () => ({ message: MESSAGE, bytes: pace.pieceLength }));
+          sender.add(channel, false, () => ({ message: MESSAGE, bytes: limiter.pieceLength }));
         };
         ask();
       });
@@ -36,7 +36,7 @@
     });
   }
 
-  it('sends what was asked last, and nothing to a peer that is gone', () => {
+  it('answers only the last request of a peer, and none of a closed one', () => {
     const time = new FakeTimeline();
     const sender = new PieceSender(new PieceRateLimiter(1), time);
     const sent: string[] = [];
--- a/src/process/PieceSender.ts
+++ b/src/process/PieceSender.ts
@@ -1,60 +1,59 @@
 /**
- * Sends large messages to peers so that they never hold up others: pieces go over all links together at no more than a
- * share of what the VM's link carries, one peer after another. A peer has one order at a time, and a piece is built when
- * its turn comes, so that nothing old is sent.
+ * Sends pieces of large messages to peers at a limited total rate, so that they do not delay other messages. Each peer
+ * has at most one pending request, and a piece is built only when it is sent, so that it is up to date.
  */
 import type { Timeline } from '../_lib/Timeline.js';
 import type { PeerMessage } from '../connection/peer/peerMessages.js';
-import type { PeerChannel } from './NewestExchange.js';
+import type { PeerChannel } from './VersionExchange.js';
 import type { PieceRateLimiter } from './PieceRateLimiter.js';
 
-/** A message and what it costs. */
+/** A message and its size. */
 export interface SizedMessage {
   readonly message: PeerMessage;
   readonly bytes: number;
 }
 
-/** Builds what a peer is sent when its turn comes; undefined for nothing. */
+/** Builds the message to send; undefined for none. */
 export type PieceBuilder = () => SizedMessage | undefined;
 
-/** Paces what is sent to all peers. */
+/** Sends pieces to all peers, one at a time. */
 export class PieceSender {
-  /** Orders of peers that cannot serve without what they ask for; they go first. */
+  /** Requests of peers that cannot serve without the answer; they are handled first. */
   private readonly urgent = new Map<PeerChannel, PieceBuilder>();
   private readonly others = new Map<PeerChannel, PieceBuilder>();
-  /** When the next piece may be sent, ms. */
-  private freeAt = -Infinity;
+  /** Earliest time of the next piece, ms. */
+  private nextSendAt = -Infinity;
   private isScheduled = false;
 
   constructor(
-    private readonly pace: PieceRateLimiter,
+    private readonly rateLimiter: PieceRateLimiter,
     private readonly timeline: Timeline,
   ) {}
 
-  /** Sends a piece to a peer when its turn comes, in place of what it waits for. */
+  /** Queues a piece for a peer, replacing its pending request. */
   add(channel: PeerChannel, isUrgent: boolean, build: PieceBuilder): void {
     this.drop(channel);
     (isUrgent ? this.urgent : this.others).set(channel, build);
     this.sendDue();
   }
 
-  /** A peer waits for nothing any more. */
+  /** Removes the pending request of a peer. */
   drop(channel: PeerChannel): void {
     this.urgent.delete(channel);
     this.others.delete(channel);
   }
 
   private sendDue(): void {
-    const orders = this.urgent.size > 0 ? this.urgent : this.others;
-    const [next] = orders;
+    const queue = this.urgent.size > 0 ? this.urgent : this.others;
+    const [next] = queue;
     if (!next || this.isScheduled) return;
     const now = this.timeline.now();
-    if (now < this.freeAt) return this.schedule(this.freeAt - now);
+    if (now < this.nextSendAt) return this.schedule(this.nextSendAt - now);
     const [channel, build] = next;
-    orders.delete(channel);
+    queue.delete(channel);
     const sized = build();
     if (sized) {
-      this.freeAt = now + this.pace.findMs(sized.bytes);
+      this.nextSendAt = now + this.rateLimiter.computeIntervalMs(sized.bytes);
       channel.send(sized.message);
     }
     this.sendDue();
--- a/src/process/ServedMetrics.ts
+++ b/src/process/ServedMetrics.ts
@@ -1,6 +1,6 @@
 /**
- * Counters and histograms of a process, served as text on an address. The library is loaded after the start, since a
- * restarted process must serve callers first; what is noted before is kept and counted then.
+ * Serves the metrics of a process over HTTP. The metrics library is loaded some time after the start, so that a restarted
+ * process serves callers sooner; observations are buffered until then.
  */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
@@ -10,26 +10,26 @@
 
 import { splitAddress } from '../connection/splitAddress.js';
 
-/** What a metric is. */
+/** Definition of a metric. */
 export interface MetricDefinition {
   readonly kind: 'counter' | 'histogram' | 'gauge';
   readonly help: string;
-  /** Labels of a counter. */
+  /** Label names of a counter. */
   readonly labels?: readonly string[];
-  /** Upper bounds of a histogram's buckets, in the unit of the metric. */
+  /** Upper bounds of the buckets of a histogram, in the unit of the metric. */
   readonly buckets?: readonly number[];
-  /** Reads a gauge when it is asked for. */
+  /** Reads the value of a gauge at each scrape. */
   readonly read?: () => number;
-  /** Reads a gauge with one label when it is asked for: values by that label's. */
+  /** Reads the values of a gauge with one label at each scrape, by label value. */
   readonly readEach?: () => ReadonlyMap<string, number>;
 }
 
 /** Labels of one observation. */
 export type MetricLabels = Readonly<Record<string, string>>;
 
-/** Observations that are kept until the library is there; further ones are dropped. */
-const MAX_PENDING = 50_000;
-/** How long after the start the library is loaded, ms. */
+/** Most observations that are buffered until the library is loaded; further ones are dropped. */
+const MAX_PENDING_OBSERVATIONS = 50_000;
+/** Delay after which the library is loaded, ms. */
 const LOAD_DELAY_MS = 1_500;
 
 /** Metrics of one process. */
@@ -41,8 +41,8 @@
   private server: Server | undefined;
 
   /**
-   * @param address - `host:port`; empty for none
-   * @param definitions - by name
+   * @param address - `host:port` to serve on; empty to disable the metrics
+   * @param definitions - metrics by name
    */
   constructor(
     private readonly address: string,
@@ -51,31 +51,31 @@
     if (address === '') this.pending = undefined;
   }
 
-  /** Loads the library after a while and serves the metrics. */
+  /** Schedules loading the library and serving the metrics. */
   start(): void {
     if (this.address === '') return;
     setTimeout(() => void this.load(), LOAD_DELAY_MS).unref();
   }
 
-  /** Counts an amount, one unless told otherwise. */
+  /** Increments a counter, by one unless an amount is given. */
   increment(name: string, labels: MetricLabels = {}, amount = 1): void {
-    this.note(() => this.counters.get(name)?.inc({ ...labels }, amount));
+    this.record(() => this.counters.get(name)?.inc({ ...labels }, amount));
   }
 
-  /** Takes a value into a histogram. */
+  /** Records a value in a histogram. */
   observe(name: string, value: number): void {
-    this.note(() => this.histograms.get(name)?.observe(value));
+    this.record(() => this.histograms.get(name)?.observe(value));
   }
 
-  /** Ends the server. */
+  /** Stops the server. */
   stop(): void {
     this.server?.close();
     this.server?.closeAllConnections();
   }
 
-  private note(run: () => void): void {
+  private record(run: () => void): void {
     if (this.registry) run();
-    else if (this.pending && this.pending.length < MAX_PENDING) this.pending.push(run);
+    else if (this.pending && this.pending.length < MAX_PENDING_OBSERVATIONS) this.pending.push(run);
   }
 
   private async load(): Promise<void> {
@@ -121,7 +121,7 @@
   }
 }
 
-/** Defines a gauge with one label; values that are not read any more are dropped. */
+/** Defines a gauge with one label; label values that are no longer read are removed. */
 function defineEach(
   library: typeof MetricsLibrary,
   base: { name: string; help: string; registers: Registry[]; labelNames: readonly string[] },
--- a/src/process/Turns.ts
+++ b/src/process/TurnLoop.ts
@@ -1,27 +1,27 @@
-/** The loop of a process: inputs are taken as they come, and their effects carried out once a turn. */
+/** Turn loop of a daemon: inputs are handled as they arrive, and their effects are carried out once per turn. */
 import { readClock } from '../_lib/readClock.js';
 
-/** Between two ticks while there is work, ms. */
+/** Tick interval while there is work, ms. */
 const BUSY_TICK_MS = 50;
-/** Between two ticks while there is none, ms: waking up is most of what an idle process costs. */
+/** Tick interval while idle, ms; longer, as wake-ups dominate the CPU time of an idle process. */
 const IDLE_TICK_MS = 250;
 
-/** What a loop needs of its process. */
+/** Handlers of a turn loop. */
 export interface TurnHandlers {
-  /** Does what time brings. */
+  /** Handles the passing of time. */
   readonly tick: (now: number) => void;
-  /** Whether something waits for time to pass. */
+  /** Whether the short tick interval is needed. */
   readonly isBusy: () => boolean;
-  /** Carries out the effects of the turn. */
+  /** Carries out the effects of a turn. */
   readonly end: (now: number) => void;
-  /** The process did not run for longer than the bound. */
+  /** Handles a pause of the process longer than the bound. */
   readonly pause: (gapMs: number) => void;
-  /** Something threw that must not; the process cannot go on. */
+  /** Handles an exception from another handler, which is fatal. */
   readonly fail: (error: unknown) => void;
 }
 
-/** Runs the turns of one process on its one thread. */
-export class Turns {
+/** Runs the turns of one process. */
+export class TurnLoop {
   private scheduled = false;
   private stopped = false;
   private lastAt = readClock();
@@ -33,18 +33,18 @@
     private readonly pauseBoundMs: number,
   ) {}
 
-  /** Starts the ticks. */
+  /** Starts ticking. */
   start(): void {
-    this.pace(IDLE_TICK_MS);
+    this.setTickInterval(IDLE_TICK_MS);
   }
 
-  /** Ends the ticks. */
+  /** Stops ticking. */
   stop(): void {
     this.stopped = true;
     clearInterval(this.timer);
   }
 
-  /** Takes one input: checks for a pause, handles it, and ends the turn once the inputs at hand are taken. */
+  /** Handles one input: checks for a pause first, and ends the turn once all pending inputs are handled. */
   run(input: (now: number) => void): void {
     try {
       const now = readClock();
@@ -54,13 +54,13 @@
     } catch (error) {
       return this.handlers.fail(error);
     }
-    this.pace(this.handlers.isBusy() ? BUSY_TICK_MS : IDLE_TICK_MS);
+    this.setTickInterval(this.handlers.isBusy() ? BUSY_TICK_MS : IDLE_TICK_MS);
     if (this.scheduled) return;
     this.scheduled = true;
     setImmediate(() => this.endTurn());
   }
 
-  private pace(tickMs: number): void {
+  private setTickInterval(tickMs: number): void {
     if (this.tickMs === tickMs || this.stopped) return;
     this.tickMs = tickMs;
     clearInterval(this.timer);
--- a/src/process/agent/AgentNode.ts
+++ b/src/process/agent/AgentNode.ts
@@ -4,7 +4,7 @@
 import { createConfigState } from '../../version/configState.js';
 import { followLog } from '../../version/followLog.js';
 import type { LogEntry, LogRecord } from '../../version/logRecord.js';
-import { createLeave, pickDueRecords, proposeJoin } from '../membership.js';
+import { createLeave, selectDueRecords, proposeJoin } from '../membership.js';
 import type { ProposalState } from '../membership.js';
 import { applyRegistrarConfig } from '../registrar/applyRegistrarConfig.js';
 import { handleAgentSet, handleAnnounce, expireClaims, renewLease } from '../registrar/handleAnnounce.js';
@@ -181,7 +181,7 @@
     if (leaving && member) records.push(createLeave(peer, member.joinedOffset));
     if (!leaving)
       records.push(...proposeJoin(config, { role: 'registrar', peer, address: this.membership.address }));
-    this.appends.push(...pickDueRecords(this.proposals, records, now));
+    this.appends.push(...selectDueRecords(this.proposals, records, now));
   }
 
   /** An entry that heard a majority of the registrars at this offset proves that no seat was given away. */
--- a/src/process/createIncarnation.ts
+++ b/src/process/createIncarnation.ts
@@ -1,13 +1,13 @@
 import { randomBytes } from 'node:crypto';
 
-/** Random bytes of an incarnation, besides the time. */
+/** Number of random bytes in an incarnation. */
 const RANDOM_BYTES = 4;
 
 /**
- * Creates the name of one run of a process: its start time and random digits, so that a VM replaced at the
- * same address is told from its predecessor.
+ * Creates a process name with an incarnation, made of the start time and random digits. The incarnation distinguishes a
+ * restarted process or a replaced VM from its predecessor.
  *
- * @param id - of the process
+ * @param id - process id
  * @param now - ms since the epoch
  * @returns `id@incarnation`
  * @example
--- a/src/process/entry/EntryDaemon.ts
+++ b/src/process/entry/EntryDaemon.ts
@@ -108,7 +108,7 @@
   protected override applyLog(entries: readonly LogEntry[], now: number): void {
     this.node.followLog(entries, now);
     this.armStartTimer(now);
-    if (this.node.isRemoved && this.life.getSnapshot().value === 'ready') {
+    if (this.node.isRemoved && this.lifecycle.getSnapshot().value === 'ready') {
       this.logger.error('removed-by-others', {});
       void this.stop();
     }
@@ -325,7 +325,7 @@
   }
 
   private async resign(): Promise<void> {
-    if (this.life.getSnapshot().value !== 'leaving' || !this.node.isMember) return;
+    if (this.lifecycle.getSnapshot().value !== 'leaving' || !this.node.isMember) return;
     this.turns.run(() => this.node.resign());
     const until = readClock() + RESIGN_MS;
     while (this.node.isMember && readClock() < until) await sleep(20);
--- a/src/process/entry/EntryNode.ts
+++ b/src/process/entry/EntryNode.ts
@@ -7,7 +7,7 @@
 import { followLog } from '../../version/followLog.js';
 import type { LogEntry, LogRecord } from '../../version/logRecord.js';
 import { findMajorityAt } from '../heartbeats.js';
-import { createLeave, listMembers, pickDueRecords, proposeJoin } from '../membership.js';
+import { createLeave, listMembers, selectDueRecords, proposeJoin } from '../membership.js';
 import type { ProposalState } from '../membership.js';
 import { proposeSnapshot } from '../proposeSnapshot.js';
 import { hasLease } from './_lib/sendClaim.js';
@@ -293,7 +293,7 @@
     records.push(...this.listMissing(now).map((member) => createLeave(member.peer, member.joinedOffset)));
     const snapshot = proposeSnapshot(config, peer, this.membership.snapshotEvery);
     if (snapshot) records.push(snapshot);
-    this.appends.push(...pickDueRecords(this.proposals, records, now));
+    this.appends.push(...selectDueRecords(this.proposals, records, now));
   }
 
   /** Members out of reach for too long; none while this entry itself may be the one that is cut off. */
--- a/src/process/entry/placeTasks.ts
+++ b/src/process/entry/placeTasks.ts
@@ -1,6 +1,6 @@
 import { assertInvariant } from '../../_lib/assertInvariant.js';
 import type { Start } from '../../connection/messages.js';
-import { EJECT_SLOWNESS } from '../../request/placement.js';
+import { MAX_SLOWNESS } from '../../request/placement.js';
 import type { AgentChoice } from '../../request/placement.js';
 import type { Job, Task } from '../../request/job.js';
 import { changeTask, logDecision } from './_lib/jobChanges.js';
@@ -69,7 +69,7 @@
     if (!view.connected || view.leaving || view.slots === 0) continue;
     if (state.config.emptiedDomains.includes(view.failureDomain)) continue;
     // An ejected agent is probed with one task at a time.
-    if (view.slowness > EJECT_SLOWNESS && view.outstanding.size > 0) continue;
+    if (view.slowness > MAX_SLOWNESS && view.outstanding.size > 0) continue;
     const credits = view.granted - view.used;
     if (needsCredit && credits <= 0) continue;
     const { peer, slots, slowness } = view;
--- a/src/process/executor/DispatcherLinks.ts
+++ b/src/process/executor/DispatcherLinks.ts
@@ -103,7 +103,7 @@
       {
         changeConfiguration: () => undefined,
         changeEmptied: (emptied) => this.handleEmptied(emptied),
-        keepConfiguration: (version, before) => this.log('configuration-kept', { version, before }),
+        recordConfiguration: (version, before) => this.log('configuration-kept', { version, before }),
         recordServices: (version, services) => this.log('services-known', { version, services }),
         recordFault: (version, problem) => this.log('configuration-unavailable', { version, problem }),
       },
--- a/src/process/failures.ts
+++ b/src/process/failures.ts
@@ -1,14 +1,14 @@
-/** What becomes of errors that no decision has foreseen: a broken invariant ends the process, others are logged. */
+/** Handles unexpected errors: a broken invariant ends the process, other errors are logged. */
 import { InvariantError } from '../_lib/errors.js';
 import type { LogFields, ProcessLogger } from './logger.js';
 
 /**
- * Logs what was caught and lets the process go on, unless an invariant is broken.
+ * Logs an unexpected error, or ends the process if an invariant is broken.
  *
- * @param logger - of the process
- * @param event - of the log line
- * @param fields - what was being done
- * @param error - what was caught
+ * @param logger - logger of the process
+ * @param event - event name of the log line
+ * @param fields - context of the failure
+ * @param error - the caught error
  */
 export function logFailure(logger: ProcessLogger, event: string, fields: LogFields, error: unknown): void {
   rethrowInvariant(error);
@@ -16,10 +16,10 @@
 }
 
 /**
- * Throws an error again, outside of the call that caught it, if it tells of a broken invariant: a dead process is a
- * failure that the others are built for, a wrong one is not.
+ * Rethrows a broken invariant outside of the call that caught it, so that the process ends. Other processes tolerate a
+ * crash, but not a process in an inconsistent state.
  *
- * @param error - what was caught
+ * @param error - the caught error
  */
 function rethrowInvariant(error: unknown): void {
   if (!(error instanceof InvariantError)) return;
@@ -31,8 +31,8 @@
 /**
  * Describes an error for a log line.
  *
- * @param error - what was caught
- * @returns its stack, or its text where it has none
+ * @param error - the caught error
+ * @returns its stack, or its text if it has none
  */
 export function describeError(error: unknown): string {
   return error instanceof Error ? (error.stack ?? error.message) : String(error);
--- a/src/process/localDefaults.ts
+++ b/src/process/localDefaults.ts
@@ -1,7 +1,7 @@
-/** Sizes and names of a cluster in one process. */
+/** Options and defaults of a local cluster. */
 import type { LineSink } from './logger.js';
 
-/** Sizes and places of a local cluster. */
+/** Options of a local cluster. */
 export interface LocalOptions {
   readonly entries: number;
   readonly agents: number;
@@ -11,12 +11,13 @@
   readonly port: number;
   readonly logLevel: string;
   readonly sink?: LineSink;
-  /** Settings of the entries that go before the defaults. */
+  /** Settings of the entries that override the defaults. */
   readonly entrySettings?: Readonly<Record<string, unknown>>;
+  /** Settings of the agents that override the defaults. */
   readonly agentSettings?: Readonly<Record<string, unknown>>;
 }
 
-/** Sizes of one hall of today's sites. */
+/** Default options of a local cluster. */
 export const DEFAULT_LOCAL: LocalOptions = {
   entries: 1,
   agents: 11,
@@ -26,9 +27,9 @@
   logLevel: 'warn',
 };
 
-/** Secret of a cluster that only listens on loopback. */
+/** Shared secret of a local cluster, which listens only on loopback. */
 export const LOCAL_SECRET = 'local-secret';
-/** The event that is open from the start. */
+/** Command that declares the default event. */
 export const OPENING_COMMAND =
   'declare event opening start now services exchange kinds ' +
   'quote(service = exchange, priority = 0, deadline = 5s, repeatable = yes, expected = 100ms), ' +
--- a/src/process/logger.ts
+++ b/src/process/logger.ts
@@ -1,15 +1,15 @@
-/** Structured logs: one JSON line each, written together a few times a second. */
+/** Structured logs, one JSON line per event, written in batches. */
 import loglevel from 'loglevel';
 import type { Logger, LogLevelDesc } from 'loglevel';
 
 import { readClock } from '../_lib/readClock.js';
 
-/** How long a line may wait to be written, ms. */
+/** Longest time that a line is buffered, ms. */
 const FLUSH_MS = 50;
-/** Lines that are written at once without waiting. */
+/** Number of buffered lines that are written without waiting. */
 const FLUSH_LINES = 2_000;
 
-/** Fields of a log line besides time, level, process and incarnation. */
+/** Fields of a log line besides time, level, process, incarnation and event. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
 /** Writes log lines for one process. */
@@ -18,19 +18,19 @@
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   error(event: string, fields?: LogFields): void;
-  /** Writes what waits. */
+  /** Writes the buffered lines. */
   flush(): void;
 }
 
-/** Where lines go; standard output for the daemons. */
+/** Destination of log lines; standard output for the daemons. */
 export type LineSink = (text: string) => void;
 
 /**
  * Creates the logger of a process.
  *
- * @param peer - `id@incarnation`, split into two fields of each line
+ * @param peer - `id@incarnation`, which becomes two fields of each line
  * @param level - lowest level that is written
- * @param sink - where the lines go
+ * @param sink - destination of the lines
  * @returns the logger
  * @example
  * createLogger('entry-1@a', 'info').info('started', { port: 7420 });
--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -1,18 +1,18 @@
-/** Records that a process proposes so that the members on the log are those that run. */
+/** Records that a process proposes to keep the membership on the log up to date. */
 import { findProcessId } from '../connection/findProcessId.js';
 import type { ConfigState, MemberConfig } from '../version/configState.js';
 import type { LogRecord } from '../version/logRecord.js';
 
-/** Appends of one process that wait for their effect. */
+/** Proposals of one process that have not taken effect yet. */
 export interface ProposalState {
   /** When each record was last proposed, ms since the epoch, by command id. */
   readonly proposedAt: Map<string, number>;
-  /** How long to wait before the same record is proposed again, ms. */
+  /** Delay before the same record is proposed again, ms. */
   readonly repeatMs: number;
 }
 
 /**
- * Lists the members of a configuration, whatever their role.
+ * Lists the members of a configuration in all roles.
  *
  * @param config - the configuration
  * @returns registrars, standbys and entries
@@ -22,11 +22,11 @@
 }
 
 /**
- * Proposes that this process becomes a member, and that its earlier incarnations stop being ones.
+ * Proposes that this process joins and that its earlier incarnations leave.
  *
  * @param config - the configuration
  * @param self - this process
- * @returns records to append; empty once the configuration says so
+ * @returns records to append; empty once the configuration contains the changes
  * @example
  * proposeJoin(createConfigState(), { role: 'entry', peer: 'entry-1@a', address: '127.0.0.1:1' }).length; // 1
  */
@@ -42,18 +42,18 @@
     records.push(createLeave(member.peer, member.joinedOffset));
   }
   if (members.some((member) => member.peer === self.peer)) return records;
-  // The offset in the id lets a process join again that was removed by mistake.
+  // The number of leaves in the id lets a process rejoin that was removed by mistake.
   const command = `join:${self.peer}:${countLeaves(config, self.peer)}`;
   records.push({ type: 'join', id: command, ...self });
   return records;
 }
 
 /**
- * Returns the record that ends a membership. Every process that proposes it uses the same id, so that racing
- * proposals have one effect.
+ * Creates the record that ends a membership. All processes use the same id for it, so that concurrent proposals have one
+ * effect.
  *
  * @param peer - `id@incarnation`
- * @param joinedOffset - of the membership that ends; tells it from a later one of the same incarnation
+ * @param joinedOffset - offset of the join; distinguishes memberships of the same incarnation
  * @returns the record
  */
 export function createLeave(peer: string, joinedOffset: number): LogRecord {
@@ -61,14 +61,14 @@
 }
 
 /**
- * Keeps the records whose turn it is: new ones, and ones whose effect has not been seen for long.
+ * Selects the records to propose now: new ones, and those proposed longer ago than the repeat delay.
  *
- * @param state - the proposals so far, which are changed
- * @param records - what should be on the log
+ * @param state - proposals so far; updated
+ * @param records - records that should be on the log
  * @param now - ms since the epoch
  * @returns the records to append now
  */
-export function pickDueRecords(
+export function selectDueRecords(
   state: ProposalState,
   records: readonly LogRecord[],
   now: number,
--- a/src/process/metrics.ts
+++ b/src/process/metrics.ts
@@ -2,22 +2,22 @@
 
 import type { MetricsSettings } from './settings/settings.js';
 
-/** Tags of one value. */
+/** Tags of a metric. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Metrics of one process. Counts are gathered and sent together once a second. */
+/** Metrics of one process. Increments are summed until `flush`. */
 export interface ProcessMetrics {
   gauge(name: string, value: number, tags?: MetricTags): void;
   increment(name: string, tags?: MetricTags): void;
-  /** Sends the gathered counts. */
+  /** Sends the summed increments. */
   flush(): void;
   close(): void;
 }
 
 /**
- * Creates the metrics of a process. Port 0 makes some that send nothing.
+ * Creates the StatsD metrics of a process. With port 0 nothing is sent.
  *
- * @param settings - where to send
+ * @param settings - StatsD server and prefix
  * @param peer - `id@incarnation`, sent as tags
  * @returns the metrics
  * @example
--- a/src/process/processMachine.ts
+++ b/src/process/processMachine.ts
@@ -1,7 +1,7 @@
 import { setup } from 'xstate';
 
 /**
- * Life of a daemon: `joining` until it may serve, `ready`, `leaving` while it finishes what it has, `stopped`.
+ * Lifecycle of a daemon: `joining` until it may serve, `ready`, `leaving` while it finishes its work, `stopped`.
  */
 export const processMachine = setup({
   types: { events: {} as { type: 'join' } | { type: 'lose' } | { type: 'leave' } | { type: 'drain' } },
--- a/src/process/proposeSnapshot.ts
+++ b/src/process/proposeSnapshot.ts
@@ -2,13 +2,13 @@
 import type { LogRecord } from '../version/logRecord.js';
 
 /**
- * Proposes a snapshot when one is due. Which entry appends it follows from the offset, so that usually one
- * does; a second one does no harm.
+ * Proposes a snapshot when one is due. The offset selects the entry that appends it, so that usually only one does; a
+ * second snapshot is harmless.
  *
  * @param config - the configuration
  * @param peer - this entry
  * @param every - records between two snapshots
- * @returns the record, or undefined when it is not due or another entry's turn
+ * @returns the record, or undefined if no snapshot is due or another entry is selected
  * @example
  * proposeSnapshot(createConfigState(), 'entry-1@a', 100); // undefined
  */
--- a/src/process/roundSpeed.ts
+++ b/src/process/roundSpeed.ts
@@ -1,10 +1,8 @@
-/** Speeds as they are told on links. */
-
 /**
- * Rounds a speed to three digits, so that it is told anew only when it has changed.
+ * Rounds a speed to three decimal places, so that insignificant changes are not reported.
  *
- * @param speed - work per ms, in ms of estimates
- * @returns the speed in thousandths
+ * @param speed - estimated work, ms, done per ms
+ * @returns the rounded speed
  * @example
  * roundSpeed(1.00049); // 1
  */
--- a/src/process/startTimer.ts
+++ b/src/process/startTimer.ts
@@ -2,12 +2,12 @@
 import type { ProcessLogger } from './logger.js';
 
 /**
- * Does something again and again. A failure is logged and does not end the process; a broken invariant does.
+ * Runs a function at an interval. Errors are logged, except that a broken invariant ends the process.
  *
- * @param logger - of the process
- * @param name - of the timer, for the log
- * @param intervalMs - between two runs
- * @param run - what to do
+ * @param logger - logger of the process
+ * @param name - name of the timer in the log
+ * @param intervalMs - interval, ms
+ * @param run - the function
  * @returns the timer
  */
 export function startTimer(
--- a/src/request/admission.ts
+++ b/src/request/admission.ts
@@ -58,9 +58,9 @@
 const DEADLINE_SHARE = 0.9;
 
 /** Wait from which shares count, ms: below it there is enough for everyone. */
-const SHARE_AFTER_MS = 1_000;
+const SHARE_CHECK_MIN_WAIT_MS = 1_000;
 /** How many even shares one caller or team may hold. */
-const SHARES_ALLOWED = 2;
+const MAX_EVEN_SHARES = 2;
 
 /** Refuses a job whose predicted finish is past its deadline, with hints spread over the predicted backlog. */
 export class LatenessAdmission extends Admission {
@@ -84,8 +84,8 @@
 /** While work waits, a caller or team with more than its shares gets no more in. */
 function findExceededShare(input: AdmissionInput, slots: number): string {
   const { totalMs, callerMs, teamMs, callers, teams } = input;
-  if (totalMs / slots < SHARE_AFTER_MS) return '';
-  if (callers > 1 && callerMs > (SHARES_ALLOWED * totalMs) / callers) return 'caller-share';
-  if (teams > 1 && teamMs > (SHARES_ALLOWED * totalMs) / teams) return 'team-share';
+  if (totalMs / slots < SHARE_CHECK_MIN_WAIT_MS) return '';
+  if (callers > 1 && callerMs > (MAX_EVEN_SHARES * totalMs) / callers) return 'caller-share';
+  if (teams > 1 && teamMs > (MAX_EVEN_SHARES * totalMs) / teams) return 'team-share';
   return '';
 }
--- a/src/request/digestJob.ts
+++ b/src/request/digestJob.ts
@@ -2,7 +2,7 @@
 import type { JobRequest } from './job.js';
 
 /** The parts of a job's contents that a digest tells apart, in its order. */
-const DIGEST_PARTS = ['event', 'number of tasks', 'kinds of tasks', 'bodies of tasks'] as const;
+const DIGEST_PART_NAMES = ['event', 'number of tasks', 'kinds of tasks', 'bodies of tasks'] as const;
 
 /**
  * Hashes the contents of a job, part by part. The deadline is not part of them.
@@ -32,5 +32,5 @@
   const rights = right.split('.');
   return left
     .split('.')
-    .flatMap((hash, part) => (hash === rights[part] ? [] : [DIGEST_PARTS[part] as string]));
+    .flatMap((hash, part) => (hash === rights[part] ? [] : [DIGEST_PART_NAMES[part] as string]));
 }
--- a/src/request/placement.ts
+++ b/src/request/placement.ts
@@ -40,7 +40,7 @@
 }
 
 /** Slowness above which an agent is used only when nothing else has a credit. */
-export const EJECT_SLOWNESS = 3;
+export const MAX_SLOWNESS = 3;
 
 /** The agent with the earliest estimated start among those with a credit. */
 export class CreditPlacement extends Placement {
@@ -62,6 +62,6 @@
 /** Relative delay: load for each slot, weighed by slowness, and far behind the others when ejected. */
 function estimateDelay(agent: AgentChoice): number {
   const load = (agent.outstanding + 1) / agent.slots;
-  const ejected = agent.slowness > EJECT_SLOWNESS ? 1_000 : 0;
+  const ejected = agent.slowness > MAX_SLOWNESS ? 1_000 : 0;
   return load * agent.slowness - agent.credits / (100 * agent.slots) + ejected;
 }
--- a/test/fakes/ConfigurationModel.ts
+++ b/test/fakes/ConfigurationModel.ts
@@ -7,7 +7,7 @@
  */
 import type { PeerMessage } from '../../src/connection/peer/peerMessages.js';
 import { createRandom } from '../../src/_lib/createRandom.js';
-import type { PeerChannel } from '../../src/process/NewestExchange.js';
+import type { PeerChannel } from '../../src/process/VersionExchange.js';
 import { OperatorExchange } from '../../src/process/OperatorExchange.js';
 import type { Configuration } from '../../src/version/configuration.js';
 import { buildRoutes } from './buildRoutes.js';
--- a/test/fakes/dispatchWorldDomains.ts
+++ b/test/fakes/dispatchWorldDomains.ts
@@ -1,7 +1,7 @@
 /** Failure domains of the randomised runs, and what each agent knows of them. */
 import type { StartOrder } from '../../src/connection/peer/peerMessages.js';
 import type { Executor } from '../../src/process/executor/Executor.js';
-import type { PeerChannel } from '../../src/process/NewestExchange.js';
+import type { PeerChannel } from '../../src/process/VersionExchange.js';
 import { OperatorExchange } from '../../src/process/OperatorExchange.js';
 import { applyDomainChange } from '../../src/version/emptiedDomains.js';
 import type { EmptiedDomains } from '../../src/version/emptiedDomains.js';
