--- a/src/process/ConfigurationExchange.test.ts
+++ b/src/process/ConfigurationExchange.test.ts
@@ -90,7 +90,7 @@
     expect(sent).to.deep.equal([{ type: 'configuration-summary', version: 4, services, length }]);
   });
 
-  it('sends the whole configuration to a peer of an earlier version, whether it uses the routes or not', () => {
+  it('sends the whole configuration to a peer of an earlier version', () => {
     for (const usesRoutes of [true, false]) {
       sent = [];
       const exchange = createExchange(usesRoutes);
--- a/src/process/ConfigurationExchange.ts
+++ b/src/process/ConfigurationExchange.ts
@@ -1,10 +1,10 @@
 /**
- * Replicates the configuration between processes. Both sides of a link report their version with each ping and pong.
- * The side that is behind requests a summary, which is small and lists the services, and then fetches the packed text
- * in pieces, at a limited rate that leaves bandwidth for other messages.
+ * Replicates the configuration between processes. Both sides of a link report their version with each ping
+ * and pong. The side that is behind requests a summary, which is small and lists the services, and then
+ * fetches the packed text in pieces, at a limited rate that leaves bandwidth for other messages.
  *
- * A process that does not use routes stores only the packed text, to forward it. It delays the fetch until no newer
- * version has appeared for a while.
+ * A process that does not use routes stores only the packed text, to forward it. It delays the fetch until no
+ * newer version has appeared for a while.
  */
 import type { Timeline } from '../_lib/Timeline.js';
 import type {
@@ -30,20 +30,25 @@
 const REQUEST_RETRY_MS = 150;
 const MAX_REQUEST_RETRY_MS = 5_000;
 /**
- * Time without a piece after which another peer is used, ms. Processes that use the routes are served first, so they
- * time out earlier; the others may wait in a long queue. A lost peer is detected by its link.
+ * Time without a piece after which another peer is used, ms. Processes that use the routes are served first,
+ * so they time out earlier; the others may wait in a long queue. A lost peer is detected by its link.
  */
 const URGENT_PIECE_TIMEOUT_MS = 1_000;
 const PIECE_TIMEOUT_MS = 10_000;
 /** Time for which a peer that sent an invalid text is not used, ms. */
 const INVALID_TEXT_AVOID_MS = 10_000;
-/** Time for which a stalled peer is not used, ms; below `VERSION_EXPIRY_MS`, so that received pieces are kept. */
+/**
+ * Time for which a stalled peer is not used, ms; below `VERSION_EXPIRY_MS`, so that received pieces are kept.
+ */
 const STALL_AVOID_MS = 2_000;
-/** Time after which a version that no peer reports is abandoned, ms; peers may hold an earlier version that is new. */
+/**
+ * Time after which a version that no peer reports is abandoned, ms; peers may hold an earlier version that is
+ * new.
+ */
 const VERSION_EXPIRY_MS = 5_000;
 /**
- * Delay before a process that uses no routes, and already holds a version, fetches the text, ms. Up to the same amount
- * is added at random, and each newer version restarts the delay, up to the maximum.
+ * Delay before a process that uses no routes, and already holds a version, fetches the text, ms. Up to the
+ * same amount is added at random, and each newer version restarts the delay, up to the maximum.
  */
 const FETCH_DELAY_MS = 1_000;
 const MAX_FETCH_DELAY_MS = 10_000;
@@ -220,8 +225,8 @@
     this.behindSince ??= now;
     if (this.options.usesRoutes || !this.held) return;
     if (length !== undefined && length <= MAX_UNDELAYED_LENGTH) return;
-    const settleMs = FETCH_DELAY_MS * (1 + this.options.nextRandom());
-    this.fetchAfter = Math.min(now + settleMs, Math.max(now, this.behindSince + MAX_FETCH_DELAY_MS));
+    const delayMs = FETCH_DELAY_MS * (1 + this.options.nextRandom());
+    this.fetchAfter = Math.min(now + delayMs, Math.max(now, this.behindSince + MAX_FETCH_DELAY_MS));
   }
 
   private dropWanted(version: number): void {
--- a/src/process/DaemonBase.ts
+++ b/src/process/DaemonBase.ts
@@ -1,4 +1,7 @@
-/** Common base of the entry and agent daemons: logging, metrics, links, turn loop, lifecycle and health endpoints. */
+/**
+ * Common base of the entry and agent daemons: logging, metrics, links, turn loop, lifecycle and health
+ * endpoints.
+ */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
--- a/src/process/MemberTable.ts
+++ b/src/process/MemberTable.ts
@@ -1,6 +1,6 @@
 /**
- * Addresses of the other dispatchers, from the settings and from peers that have a working link to them. An address that
- * is no longer reported expires, so that a removed dispatcher disappears from every table.
+ * Addresses of the other dispatchers, from the settings and from peers that have a working link to them. An
+ * address that is no longer reported expires, so that a removed dispatcher disappears from every table.
  */
 import type { DispatcherPlace } from '../connection/peer/peerMessages.js';
 
@@ -31,8 +31,8 @@
 
   /** Lists the dispatchers whose report has not expired. */
   list(now: number): DispatcherPlace[] {
-    for (const [address, { reportedAt: heardAt }] of this.members)
-      if (now - heardAt > EXPIRY_MS) this.members.delete(address);
+    for (const [address, { reportedAt }] of this.members)
+      if (now - reportedAt > EXPIRY_MS) this.members.delete(address);
     return [...this.members.values()].map(({ place }) => place);
   }
 
--- a/src/process/OperatorExchange.ts
+++ b/src/process/OperatorExchange.ts
@@ -1,6 +1,7 @@
 /**
- * Holds the operators' state in one process: the newest configuration and the list of emptied failure domains. Both are
- * versioned and replicated over the links, so that a process without access to the store receives them from any peer.
+ * Holds the operators' state in one process: the newest configuration and the list of emptied failure
+ * domains. Both are versioned and replicated over the links, so that a process without access to the store
+ * receives them from any peer.
  */
 import type { PeerMessage } from '../connection/peer/peerMessages.js';
 import type { Configuration } from '../version/configuration.js';
@@ -21,7 +22,7 @@
   readonly changeConfiguration: (configuration: Configuration, before: number, from: UpdateSource) => void;
   /** The list is newer than the previous one; it may contain the same domains. */
   readonly changeEmptied: (emptied: EmptiedDomains, from: UpdateSource) => void;
-  /** A process that does not use routes has received a complete version. */
+  /** A process that does not use the routes has stored a version, in order to forward it. */
   readonly recordConfiguration?: (version: number, before: number) => void;
   /** The services of a version are known. */
   readonly recordServices?: (version: number, count: number) => void;
@@ -41,7 +42,9 @@
 export interface ReportedVersions {
   /** Version of the configuration; -1 for none. */
   readonly version: number;
-  /** Revision of the list of emptied failure domains; -1 for none; undefined for peers of earlier versions. */
+  /**
+   * Revision of the list of emptied failure domains; -1 for none; undefined for peers of earlier versions.
+   */
   readonly emptiedRevision?: number | undefined;
 }
 
@@ -62,8 +65,8 @@
   }
 
   /**
-   * The configuration in force; undefined until the list of emptied failure domains is known, since no task may be
-   * started before.
+   * The configuration in force; undefined until the list of emptied failure domains is known, since no task
+   * may be started before.
    */
   get configuration(): Configuration | undefined {
     return this.domains.newest && this.configurations.newest;
--- a/src/process/PauseGuard.ts
+++ b/src/process/PauseGuard.ts
@@ -5,7 +5,9 @@
 /** Turns of the event loop in which pending input is read after a pause. */
 const CATCH_UP_TURNS = 3;
 
-/** Detects pauses from the time between updates; `update` must be called at least every `MIN_PAUSE_MS` / 2. */
+/**
+ * Detects pauses from the time between updates; `update` must be called at least every `MIN_PAUSE_MS` / 2.
+ */
 export class PauseGuard {
   private lastAt: number;
   private turnsLeft = 0;
--- a/src/process/PieceReceiver.ts
+++ b/src/process/PieceReceiver.ts
@@ -1,6 +1,6 @@
 /**
- * Fetches a packed configuration in pieces, from one peer at a time; each piece is requested once the previous one has
- * arrived. When the peer is lost, the transfer continues from another one.
+ * Fetches a packed configuration in pieces, from one peer at a time; each piece is requested once the
+ * previous one has arrived. When the peer is lost, the transfer continues from another one.
  */
 import type { Timeline } from '../_lib/Timeline.js';
 import type { ConfigurationPiece } from '../connection/peer/peerMessages.js';
--- a/src/process/PieceSender.ts
+++ b/src/process/PieceSender.ts
@@ -1,6 +1,7 @@
 /**
- * Sends pieces of large messages to peers at a limited total rate, so that they do not delay other messages. Each peer
- * has at most one pending request, and a piece is built only when it is sent, so that it is up to date.
+ * Sends pieces of large messages to peers at a limited total rate, so that they do not delay other messages.
+ * Each peer has at most one pending request, and a piece is built only when it is sent, so that it is up to
+ * date.
  */
 import type { Timeline } from '../_lib/Timeline.js';
 import type { PeerMessage } from '../connection/peer/peerMessages.js';
--- a/src/process/ServedMetrics.ts
+++ b/src/process/ServedMetrics.ts
@@ -1,6 +1,6 @@
 /**
- * Serves the metrics of a process over HTTP. The metrics library is loaded some time after the start, so that a restarted
- * process serves callers sooner; observations are buffered until then.
+ * Serves the metrics of a process over HTTP. The metrics library is loaded some time after the start, so that
+ * a restarted process serves callers sooner; observations are buffered until then.
  */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
--- a/src/process/TurnLoop.ts
+++ b/src/process/TurnLoop.ts
@@ -1,4 +1,6 @@
-/** Turn loop of a daemon: inputs are handled as they arrive, and their effects are carried out once per turn. */
+/**
+ * Turn loop of a daemon: inputs are handled as they arrive, and their effects are carried out once per turn.
+ */
 import { readClock } from '../_lib/readClock.js';
 
 /** Tick interval while there is work, ms. */
--- a/src/process/VersionExchange.ts
+++ b/src/process/VersionExchange.ts
@@ -1,6 +1,6 @@
 /**
- * Replicates a versioned value between processes. Both sides of a link report their version with each ping and pong, and
- * the side that is behind requests the newer value, so that a change crosses a link only once.
+ * Replicates a versioned value between processes. Both sides of a link report their version with each ping
+ * and pong, and the side that is behind requests the newer value, so that a change crosses a link only once.
  */
 import type { PeerMessage } from '../connection/peer/peerMessages.js';
 
@@ -46,7 +46,9 @@
     return true;
   }
 
-  /** Compares the version reported by a peer, and requests it if it is newer, unless a request was just sent. */
+  /**
+   * Compares the version reported by a peer, and requests it if it is newer, unless a request was just sent.
+   */
   compareVersion(version: number, channel: PeerChannel, now: number): void {
     if (version <= this.version || now - this.requestedAt < REQUEST_RETRY_MS) return;
     this.requestedAt = now;
--- a/src/process/createIncarnation.ts
+++ b/src/process/createIncarnation.ts
@@ -4,8 +4,8 @@
 const RANDOM_BYTES = 4;
 
 /**
- * Creates a process name with an incarnation, made of the start time and random digits. The incarnation distinguishes a
- * restarted process or a replaced VM from its predecessor.
+ * Creates a process name with an incarnation, made of the start time and random digits. The incarnation
+ * distinguishes a restarted process or a replaced VM from its predecessor.
  *
  * @param id - process id
  * @param now - ms since the epoch
--- a/src/process/createLogSink.ts
+++ b/src/process/createLogSink.ts
@@ -7,8 +7,8 @@
 const MAX_BUFFERED_LENGTH = 4 * 1024 * 1024;
 
 /**
- * Creates a sink that writes to standard output without blocking on its reader, as `process.stdout` does on a pipe. The
- * count of dropped lines is logged once the buffer has drained.
+ * Creates a sink that writes to standard output without blocking on its reader, as `process.stdout` does on a
+ * pipe. The count of dropped lines is logged once the buffer has drained.
  *
  * @returns the sink
  */
--- a/src/process/dispatchTimes.ts
+++ b/src/process/dispatchTimes.ts
@@ -1,4 +1,7 @@
-/** Intervals and timeouts that dispatcher and executor derive from the settings, so that they match each other. */
+/**
+ * Intervals and timeouts that dispatcher and executor derive from the settings, so that they match each
+ * other.
+ */
 import type { DispatchSettings } from './settings/dispatchSettings.js';
 
 /** Lease, as a share of the time after which a caller resubmits. */
@@ -10,7 +13,7 @@
 
 /** Intervals and timeouts of links and leases, ms. */
 export interface DispatchTimes {
-  /** Lease granted by executors. */
+  /** Lease that an executor gives its upstream. */
   readonly leaseMs: number;
   /** Age of a dispatcher's last pong after which an executor stops its tasks. */
   readonly orphanAfterMs: number;
@@ -18,8 +21,8 @@
 }
 
 /**
- * Derives intervals and timeouts. Orphan timeout, lease and stopping a task together take less time than a disconnected
- * caller needs to resubmit its job.
+ * Derives intervals and timeouts. Orphan timeout, lease and stopping a task together take less time than a
+ * disconnected caller needs to resubmit its job.
  *
  * @param settings - settings of the process
  * @returns the times
--- a/src/process/failures.ts
+++ b/src/process/failures.ts
@@ -16,8 +16,8 @@
 }
 
 /**
- * Rethrows a broken invariant outside of the call that caught it, so that the process ends. Other processes tolerate a
- * crash, but not a process in an inconsistent state.
+ * Rethrows a broken invariant outside of the call that caught it, so that the process ends. Other processes
+ * tolerate a crash, but not a process in an inconsistent state.
  *
  * @param error - the caught error
  */
--- a/src/process/heartbeats.ts
+++ b/src/process/heartbeats.ts
@@ -2,7 +2,7 @@
  * Finds the latest time since which a majority of the registrars has sent a message.
  *
  * @param registrars - peers of the registrars of the configuration
- * @param findReceivedAt - returns when a peer's last message was received, ms since the epoch; -Infinity for never
+ * @param findReceivedAt - returns the time of a peer's last message, ms since the epoch; -Infinity for none
  * @returns the latest time since which more than half have sent one; -Infinity without registrars
  * @example
  * findMajorityAt(['a', 'b', 'c'], (peer) => ({ a: 5, b: 9, c: 1 })[peer] ?? 0); // 5
--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -49,8 +49,8 @@
 }
 
 /**
- * Creates the record that ends a membership. All processes use the same id for it, so that concurrent proposals have one
- * effect.
+ * Creates the record that ends a membership. All processes use the same id for it, so that concurrent
+ * proposals have one effect.
  *
  * @param peer - `id@incarnation`
  * @param joinedOffset - offset of the join; distinguishes memberships of the same incarnation
--- a/src/process/processMachine.ts
+++ b/src/process/processMachine.ts
@@ -1,7 +1,8 @@
 import { setup } from 'xstate';
 
 /**
- * Lifecycle of a daemon: `joining` until it may serve, `ready`, `leaving` while it finishes its work, `stopped`.
+ * Lifecycle of a daemon: `joining` until it may serve, `ready`, `leaving` while it finishes its work,
+ * `stopped`.
  */
 export const processMachine = setup({
   types: { events: {} as { type: 'join' } | { type: 'lose' } | { type: 'leave' } | { type: 'drain' } },
--- a/src/process/proposeSnapshot.ts
+++ b/src/process/proposeSnapshot.ts
@@ -2,8 +2,8 @@
 import type { LogRecord } from '../version/logRecord.js';
 
 /**
- * Proposes a snapshot when one is due. The offset selects the entry that appends it, so that usually only one does; a
- * second snapshot is harmless.
+ * Proposes a snapshot when one is due. The offset selects the entry that appends it, so that usually only one
+ * does; a second snapshot is harmless.
  *
  * @param config - the configuration
  * @param peer - this entry
--- a/src/process/settings/checkSettings.test.ts
+++ b/src/process/settings/checkSettings.test.ts
@@ -9,7 +9,7 @@
     expect(check.ok && check.settings.listen.httpPort).to.equal(7_420);
   });
 
-  it('reports every finding with its place, unknown keys among them', () => {
+  it('reports all findings with their pointers, including unknown keys', () => {
     const check = checkSettings('agent', { id: 'a b', slots: 0, colour: 'red' });
     const pointers = check.ok ? [] : check.findings.map(({ pointer }) => pointer);
     expect(pointers).to.have.members(['/secret', '/colour', '/id', '/slots']);
--- a/src/process/settings/checkSettings.ts
+++ b/src/process/settings/checkSettings.ts
@@ -15,17 +15,17 @@
   upstream: ajv.compile(UPSTREAM_SCHEMA),
 };
 
-/** Settings, or everything that is wrong with them. */
+/** Checked settings, or the list of findings. */
 export type SettingsCheck<R extends Role> =
   | { readonly ok: true; readonly settings: SettingsByRole[R] }
   | { readonly ok: false; readonly findings: readonly Finding[] };
 
 /**
- * Checks settings against the schema of their role and fills in the defaults. Unknown keys are refused.
+ * Checks settings against the schema of their role and fills in the defaults. Unknown keys are findings.
  *
- * @param role - whose settings they are
+ * @param role - the role
  * @param input - the parsed JSON
- * @returns the settings, or every finding
+ * @returns the settings, or all findings
  * @example
  * checkSettings('upstream', { port: -1 }); // { ok: false, findings: [{ pointer: '/port', ... }] }
  */
@@ -38,7 +38,7 @@
   return { ok: true, settings: copy as SettingsByRole[R] };
 }
 
-/** Checks that need more than one setting. */
+/** Finds settings that contradict each other. */
 function findContradictions(role: Role, settings: SettingsByRole[Role]): Finding[] {
   const findings: Finding[] = [];
   if (role === 'agent') {
--- a/src/process/settings/describeSettings.ts
+++ b/src/process/settings/describeSettings.ts
@@ -19,7 +19,7 @@
  * Lists the settings of a role with types and defaults, for `--help`.
  *
  * @param role - the role
- * @returns one line a setting; units are part of the names
+ * @returns one line per setting; units are part of the names
  * @example
  * describeSettings('upstream').includes('slots'); // true
  */
--- a/src/process/settings/dispatchSettings.ts
+++ b/src/process/settings/dispatchSettings.ts
@@ -1,109 +1,120 @@
-/** Settings of the daemons that serve jobs which live as long as their callers: dispatcher and executor. */
+/** Settings of dispatcher and executor. */
 import type { LogLevel } from './logLevel.js';
 
 /**
- * Ways to choose agents. `spread`: each task for itself; `grouped`: tasks of a job together where that costs little;
- * `home`: and first at agents that prefer this dispatcher.
+ * How executors are selected. `spread`: for each task separately; `grouped`: tasks of a job together where
+ * that costs little; `home`: grouped, and executors that prefer this dispatcher first.
  */
 export type PlacementKind = 'spread' | 'grouped' | 'home';
 
 /**
- * Ways to bound the starts on their way to agents. `open`: not at all; `loss`: by starts that expire; `delay`: by those,
- * and by echoes that come late.
+ * How the number of starts in flight to executors is limited. `open`: unlimited; `loss`: by expired starts;
+ * `delay`: by expired starts and late pongs.
  */
 export type SendWindowKind = 'open' | 'loss' | 'delay';
 
-/** Orders in which tasks wait. `deadline`: by the last moment to start in time; `fair`: and by shares of queues. */
+/**
+ * Order of waiting tasks. `deadline`: by the latest start that meets the deadline; `fair`: also by queue
+ * shares.
+ */
 export type TaskOrderKind = 'deadline' | 'fair';
 
-/** When a job is refused. `patience`: by its own clock; `forecast`: also by what the room is expected to serve in time. */
+/**
+ * When a job is refused. `patience`: by its caller timeout; `forecast`: also by the capacity expected until
+ * then.
+ */
 export type AdmissionKind = 'patience' | 'forecast';
 
-/** What an executor tells of its room. `open`: all of it to each dispatcher; `demand`: parts, by what waits at each. */
+/**
+ * How an executor shares its capacity. `open`: all of it reported to each dispatcher; `demand`: shares by
+ * demand.
+ */
 export type CapacitySharingKind = 'open' | 'demand';
 
-/** How an executor measures its upstream's speed. `mean`: of all work; `median`: of tasks, which one long task does not move. */
+/**
+ * How an upstream's speed is measured. `mean`: over all work; `median`: over tasks, robust against one long
+ * task.
+ */
 export type SpeedMeasureKind = 'mean' | 'median';
 
-/** Settings that both daemons share. Durations have their unit in the name. */
+/** Settings of both daemons. The names of durations contain their unit. */
 export interface DispatchSettings {
   readonly id: string;
   readonly failureDomain: string;
-  /** All failure domains of the deployment, so that an evacuation of any other is told to be wrong; empty if not known. */
+  /** All failure domains of the deployment, to reject evacuations of unknown ones; empty if not known. */
   readonly failureDomains: readonly string[];
   /** Service of the upstream beside an executor; empty if not known. */
   readonly service: string;
   /** IP address of the VM. */
   readonly address: string;
-  /** IP address under which other daemons reach a dispatcher, where that is not `address`; empty if it is. */
+  /** IP address at which other daemons reach a dispatcher, if it differs from `address`; else empty. */
   readonly advertisedAddress: string;
   /** Port of the links between daemons, the same on every VM. */
   readonly linkPort: number;
-  /** VMs of some entries, `host:port`; only the host is used. Some may be gone. */
+  /** VMs of some dispatchers, `host:port`; only the host is used. Some may no longer exist. */
   readonly seeds: readonly string[];
   /**
-   * Links of an executor to dispatchers while those that it has chosen live: one in each of three failure domains. Each
-   * costs both sides 5.8 pings and echoes a second; with three in place of six a dispatcher of 11 and an executor of 65
-   * took a fifth and a tenth less processor time, played side by side.
+   * Links of an executor to dispatchers, spread over failure domains, where there are more dispatchers than
+   * `smallFleet`; up to twice as many while some of them are unresponsive.
    */
   readonly maxLinks: number;
   /**
-   * Number of dispatchers up to which an executor links to all of them: where there are few, each needs the room of all
-   * executors to choose from, and links cost little.
+   * Largest number of dispatchers at which an executor links to all of them, so that each can use its
+   * capacity.
    */
   readonly smallFleet: number;
-  /** Where callers connect, `host:port`; only for the dispatcher. */
+  /** Address for callers, `host:port`; dispatcher only. */
   readonly callerAddress: string;
-  /** Where the balancer asks whether the process is ready, `host:port`; only for the dispatcher. */
+  /** Address of the load balancer's readiness check, `host:port`; dispatcher only. */
   readonly readyAddress: string;
-  /** Where upstreams report, `host:port`. */
+  /** Address for reports of upstreams, `host:port`. */
   readonly controlAddress: string;
-  /** Where the operators' configuration lies, `host:port`. */
+  /** Address of the store of the operators' configuration, `host:port`. */
   readonly storeAddress: string;
-  /** Partitions of a topic on the store. */
+  /** Partitions of each topic on the store. */
   readonly storePartitions: number;
-  /** Where metrics are served, `host:port`; empty for nowhere. */
+  /** Address for metrics, `host:port`; empty to disable them. */
   readonly metricsAddress: string;
   readonly logLevel: LogLevel;
-  /** Whether each placement is logged, besides all that goes wrong. */
+  /** Whether each placement is logged, in addition to failures. */
   readonly decisionLog: boolean;
-  /** Time from the request to stop until the process is killed, s. */
+  /** Time from a stop request until the process is killed, s. */
   readonly graceSeconds: number;
   /** Longest lease that an upstream grants, ms. */
   readonly maxLeaseMs: number;
-  /** Time that stopping a task takes at an upstream, ms. */
+  /** Time that an upstream needs to stop a task, ms. */
   readonly stopMs: number;
-  /** Shortest time after which a caller that was cut off submits its job elsewhere, ms. */
+  /** Shortest time after which a disconnected caller resubmits its job elsewhere, ms. */
   readonly resubmitMs: number;
-  /** How much longer a task takes away from the rack that holds its data; 1 for no longer. */
+  /** Factor by which a task takes longer outside the rack that holds its data; 1 for no difference. */
   readonly farFactor: number;
   /** Bandwidth of the VM's link, Mbit/s. */
   readonly linkMbps: number;
-  /** How a dispatcher orders what waits. */
+  /** How a dispatcher orders waiting tasks. */
   readonly taskOrder: TaskOrderKind;
-  /** How a dispatcher decides what to refuse. */
+  /** How a dispatcher decides which jobs to refuse. */
   readonly admission: AdmissionKind;
-  /** How an executor divides its room among dispatchers. */
+  /** How an executor divides its capacity among dispatchers. */
   readonly roomSharing: CapacitySharingKind;
   /** How an executor measures the speed of its upstream. */
   readonly speedMeasure: SpeedMeasureKind;
-  /** Upstreams that may crash under one task until its job is failed; 0 for any number. */
+  /** Number of upstream crashes under one task after which its job fails; 0 for no limit. */
   readonly crashLimit: number;
-  /** How a dispatcher chooses agents. */
+  /** How a dispatcher selects executors. */
   readonly placement: PlacementKind;
-  /** How a dispatcher bounds what it has on its way to agents. */
+  /** How a dispatcher limits the starts in flight to executors. */
   readonly sendWindow: SendWindowKind;
   /**
-   * Connections of callers at once; further ones are closed. The default leaves a quarter of the 4,100 descriptors of
-   * the smallest entry VM to links, the store and metrics.
+   * Most connections of callers; further ones are closed. Links, store and metrics need file descriptors as
+   * well.
    */
   readonly maxConnections: number;
-  /** Jobs open at a dispatcher; further ones are refused. The default is what callers submit to one in 5 s at 840/s. */
+  /** Most open jobs of a dispatcher; further ones are refused. */
   readonly maxOpenJobs: number;
-  /** Bytes that open jobs may take, by estimate; the default is a fifth of the smallest dispatcher's heap of 160 MB. */
+  /** Most memory of all open jobs, estimated, bytes; further jobs are refused. */
   readonly maxOpenBytes: number;
-  /** Tasks of a job; the users' largest job has 1,800. */
+  /** Most tasks of a job. */
   readonly maxJobTasks: number;
-  /** Steps of a job; jobs of the users have a few. */
+  /** Most steps of a job. */
   readonly maxJobSteps: number;
 }
--- a/src/process/settings/readDispatchSettings.ts
+++ b/src/process/settings/readDispatchSettings.ts
@@ -6,7 +6,7 @@
 import { listFindings } from '../../_lib/finding.js';
 import type { Finding } from '../../_lib/finding.js';
 
-/** Settings, or everything that is wrong with them. */
+/** Checked settings, or the list of findings. */
 export type DispatchSettingsCheck =
   | { readonly ok: true; readonly settings: DispatchSettings }
   | { readonly ok: false; readonly findings: readonly Finding[] };
@@ -15,7 +15,7 @@
  * Checks the settings of a dispatcher or executor and fills in the defaults.
  *
  * @param input - parsed JSON
- * @returns the settings, or every finding
+ * @returns the settings, or all findings
  * @example
  * checkDispatchSettings({}); // { ok: false, findings: [{ pointer: '/id', message: 'is missing' }, ...] }
  */
@@ -34,7 +34,7 @@
  *
  * @param file - path of a JSON file
  * @returns the settings
- * @throws SettingsError that lists every finding with file and pointer
+ * @throws SettingsError that lists all findings with file and pointer
  */
 export function readDispatchSettings(file: string): DispatchSettings {
   const check = checkDispatchSettings(parseFile(file));
@@ -51,13 +51,15 @@
   }
 }
 
-/** Whatever an entry leaves behind must be gone before its callers submit again. */
+/**
+ * Checks that leases can end, and their tasks be stopped, before disconnected callers resubmit their jobs.
+ */
 function findContradictions({ maxLeaseMs, stopMs, resubmitMs }: DispatchSettings): Finding[] {
   const shortest = (MIN_LEASE_MS + stopMs) * 2;
   if (resubmitMs >= shortest && maxLeaseMs >= MIN_LEASE_MS) return [];
-  const message = `must leave room for a lease of ${MIN_LEASE_MS} ms and /stopMs, twice`;
+  const message = `must allow for twice the sum of /stopMs and a lease of ${MIN_LEASE_MS} ms`;
   return [{ pointer: resubmitMs < shortest ? '/resubmitMs' : '/maxLeaseMs', message }];
 }
 
-/** Shortest lease that a busy VM can still renew in time, ms. */
+/** Shortest lease that a busy VM can renew in time, ms. */
 const MIN_LEASE_MS = 200;
--- a/src/process/settings/readSettings.ts
+++ b/src/process/settings/readSettings.ts
@@ -7,11 +7,11 @@
 /**
  * Reads and checks a settings file.
  *
- * @param role - whose settings they are
- * @param file - path of a JSON file; undefined for the defaults alone
- * @param overrides - values that go before the file's
+ * @param role - the role
+ * @param file - path of a JSON file; undefined to use only the defaults
+ * @param overrides - values that override those of the file
  * @returns the settings with their defaults
- * @throws SettingsError that lists every finding with file and pointer
+ * @throws SettingsError that lists all findings with file and pointer
  * @example
  * await readSettings('upstream', undefined, { port: 7441 });
  */
--- a/src/process/settings/schema.ts
+++ b/src/process/settings/schema.ts
@@ -1,4 +1,4 @@
-/** Schemas of the settings files. Every default stands here; durations and sizes have units in their names. */
+/** Schemas and defaults of the settings files. The names of durations and sizes contain their units. */
 
 const PORT = { type: 'integer', minimum: 0, maximum: 65_535 } as const;
 const MS = { type: 'number', minimum: 0 } as const;
@@ -32,9 +32,9 @@
       prefix: { type: 'string', default: 'marblehall.' },
     },
   },
-  /** Time that a planned stop may take. */
+  /** Longest duration of a planned stop. */
   drainTimeoutMs: { ...MS, default: 30_000 },
-  /** A turn later than this counts as a pause, after which leases are not trusted. */
+  /** Longest gap between turns; a longer one is a pause, after which leases are checked again. */
   pauseBoundMs: { ...MS, default: 1_000 },
   skewMs: { ...MS, default: 1_000 },
   leaseMs: { ...MS, default: 4_000 },
--- a/src/process/settings/settings.ts
+++ b/src/process/settings/settings.ts
@@ -1,20 +1,20 @@
-/** Settings of each role after their check, with the defaults filled in. */
+/** Settings of each role, as checked and completed with the defaults. */
 
-/** Where a daemon listens. */
+/** Listening address of a daemon. */
 export interface ListenSettings {
   readonly host: string;
   readonly httpPort: number;
   readonly linkPort: number;
 }
 
-/** Where metrics go; port 0 for nowhere. */
+/** StatsD server for metrics; port 0 to disable them. */
 export interface MetricsSettings {
   readonly host: string;
   readonly port: number;
   readonly prefix: string;
 }
 
-/** Settings that entries and agents share. */
+/** Settings common to entries and agents. */
 export interface CommonSettings {
   readonly id: string;
   readonly failureDomain: string;
@@ -48,7 +48,7 @@
   readonly admission: 'lateness' | 'full-table';
   readonly priorityStepMs: number;
   readonly ageWeight: number;
-  /** How much more urgent, in ms of rank, a waiting task must be for the agents to be told. */
+  /** Decrease of the lowest rank among waiting tasks that is reported to agents, ms. */
   readonly demandStepMs: number;
 }
 
@@ -62,7 +62,10 @@
   readonly maxJobs: number;
   readonly maxClaims: number;
   readonly maxAnswerBytes: number;
-  /** Rank difference, ms, for which a credit moves to another entry: higher spares messages, lower response. */
+  /**
+   * Rank difference at which a credit moves to another entry, ms; higher values save messages but react
+   * later.
+   */
   readonly stickinessMs: number;
   readonly requestTimeoutMs: number;
   readonly proposeRepeatMs: number;
@@ -83,7 +86,7 @@
   readonly host: string;
   readonly port: number;
   readonly slots: number;
-  /** Multiplies the work of every task; 2 takes twice as long. */
+  /** Factor on the duration of every task; 2 takes twice as long. */
   readonly speed: number;
 }
 
--- a/src/request/admission.test.ts
+++ b/src/request/admission.test.ts
@@ -21,18 +21,18 @@
 describe('LatenessAdmission', () => {
   const admission = new LatenessAdmission(100);
 
-  it('lets a job in that will be in time', () => {
+  it('admits a job that is predicted to meet its deadline', () => {
     expect(admission.decideJob(idle)).to.equal(undefined);
   });
 
-  it('refuses a job whose backlog takes longer than its deadline, and says when to come back', () => {
+  it('refuses a job whose backlog takes longer than its deadline, with a retry hint', () => {
     const early = admission.decideJob({ ...idle, aheadMs: 60_000, random: 0 });
     const late = admission.decideJob({ ...idle, aheadMs: 60_000, random: 1 });
     expect(early).to.include({ reason: 'predicted-late' });
     expect(late?.retryAfterMs).to.be.greaterThan(early?.retryAfterMs ?? 0);
   });
 
-  it('keeps a flood of one caller from starving the others, but only while work waits', () => {
+  it('limits the share of one caller or team, but only while work waits', () => {
     const flood = { ...idle, totalMs: 20_000, callerMs: 19_000, callers: 4 };
     expect(admission.decideJob(flood)).to.include({ reason: 'caller-share' });
     expect(admission.decideJob({ ...flood, callerMs: 1_000 })).to.equal(undefined);
--- a/src/request/admission.ts
+++ b/src/request/admission.ts
@@ -1,6 +1,6 @@
-/** Which jobs are let in. */
+/** Admission control for jobs. */
 
-/** What an admission decides on. */
+/** Inputs of an admission decision. */
 export interface AdmissionInput {
   /** Expected work of the job, ms of one slot. */
   readonly workMs: number;
@@ -10,37 +10,37 @@
   readonly deadlineMs: number;
   /** Expected work of the jobs that would be served first, ms of one slot. */
   readonly aheadMs: number;
-  /** Slots that this entry can count on. */
+  /** Slots available to this entry. */
   readonly slots: number;
   /** Jobs in the entry that have not ended. */
   readonly activeJobs: number;
   /** Expected work of all jobs in the entry, ms of one slot. */
   readonly totalMs: number;
-  /** The part of it that the job's caller, and its team, already hold; 0 when they are not told. */
+  /** The parts of it submitted by the job's caller and by its team; 0 if they are not given. */
   readonly callerMs: number;
   readonly teamMs: number;
-  /** Callers and teams that hold work, the job's own included. */
+  /** Callers and teams with work in the entry, including those of the job. */
   readonly callers: number;
   readonly teams: number;
-  /** A random number from 0 to 1, for spreading the retries. */
+  /** Random number from 0 to 1, used to spread the retries. */
   readonly random: number;
 }
 
-/** Verdict of an admission: undefined lets the job in. */
+/** Result of an admission decision; undefined if the job is admitted. */
 export type Refusal = { readonly reason: string; readonly retryAfterMs: number } | undefined;
 
-/** Decides early whether a job can be served. */
+/** Decides on arrival whether a job is admitted. */
 export abstract class Admission {
   /**
    * Decides on one job.
    *
    * @param input - the job and the load
-   * @returns why the job is refused and when to come back, or undefined
+   * @returns the reason of a refusal and the time after which to retry, or undefined
    */
   abstract decideJob(input: AdmissionInput): Refusal;
 }
 
-/** Accepts until the table is full: the baseline. */
+/** Admits jobs until the table is full; a baseline. */
 export class FullTableAdmission extends Admission {
   constructor(private readonly maxActiveJobs: number) {
     super();
@@ -54,15 +54,15 @@
 
 /** Shortest retry hint, ms. */
 const MIN_RETRY_MS = 250;
-/** Share of the deadline that a predicted finish may use; the rest covers errors of the prediction. */
+/** Share of the deadline within which the predicted finish must fall; the rest covers prediction errors. */
 const DEADLINE_SHARE = 0.9;
 
-/** Wait from which shares count, ms: below it there is enough for everyone. */
+/** Shortest predicted wait at which fair shares are enforced, ms. */
 const SHARE_CHECK_MIN_WAIT_MS = 1_000;
-/** How many even shares one caller or team may hold. */
+/** Most even shares that one caller or team may use. */
 const MAX_EVEN_SHARES = 2;
 
-/** Refuses a job whose predicted finish is past its deadline, with hints spread over the predicted backlog. */
+/** Refuses a job whose predicted finish is too late, with retry hints spread over the predicted backlog. */
 export class LatenessAdmission extends Admission {
   constructor(private readonly maxActiveJobs: number) {
     super();
@@ -81,7 +81,7 @@
   }
 }
 
-/** While work waits, a caller or team with more than its shares gets no more in. */
+/** Finds which share is exceeded while work waits, of the caller or its team; empty for none. */
 function findExceededShare(input: AdmissionInput, slots: number): string {
   const { totalMs, callerMs, teamMs, callers, teams } = input;
   if (totalMs / slots < SHARE_CHECK_MIN_WAIT_MS) return '';
--- a/src/request/agentTaskMachine.ts
+++ b/src/request/agentTaskMachine.ts
@@ -3,12 +3,12 @@
 import { compileMachine } from '../_lib/compileMachine.js';
 import type { AgentTaskState } from '../connection/messages.js';
 
-/** What can happen to a task in an agent. */
+/** Events of a task in an agent. */
 export type AgentTaskEvent = 'run' | 'finish' | 'refuse' | 'lose' | 'accept';
 
 /**
- * Life of a task in an agent. `refused` is a tombstone: only a later attempt leaves it. `finished` and
- * `unknown` are never left, so no task runs twice here.
+ * Lifecycle of a task in an agent. `refused` is a tombstone that only a later attempt leaves. `finished` and
+ * `unknown` are final, so that no task runs twice in an agent.
  */
 export const agentTaskMachine = createMachine({
   id: 'agentTask',
@@ -22,5 +22,5 @@
   },
 });
 
-/** The transitions of `agentTaskMachine`. */
+/** Transitions of `agentTaskMachine`. */
 export const AGENT_TASK_TABLE = compileMachine<AgentTaskState, AgentTaskEvent>(agentTaskMachine);
--- a/src/request/checkJobRequest.test.ts
+++ b/src/request/checkJobRequest.test.ts
@@ -23,7 +23,7 @@
 }
 
 describe('checkJobRequest', () => {
-  it('takes a good job, with bodies as JSON text', () => {
+  it('accepts a valid job, and returns its bodies as JSON text', () => {
     const check = checkJobRequest(good, context);
     expect(check.ok && check.request.tasks[0]?.body).to.equal('{"x":[1]}');
   });
@@ -36,13 +36,13 @@
     expect(check.ok && check.request.createdAt).to.equal(NOW - 5);
   });
 
-  it('names every finding at once', () => {
+  it('reports all findings at once', () => {
     const tasks = [{ kind: 3, body: 1 }, { kind: 'quote' }];
     const pointers = listPointers({ event: 'opening', tasks, extra: 1 });
     expect(pointers).to.have.members(['/job', '/extra', '/tasks/0/kind', '/tasks/1/body']);
   });
 
-  it('refuses unknown events and kinds, and keys from the future', () => {
+  it('rejects unknown events and kinds, and creation times in the future', () => {
     expect(listPointers({ ...good, event: 'closing' })).to.deep.equal(['/event']);
     expect(listPointers({ ...good, tasks: [{ kind: 'seal', body: 1 }] })).to.deep.equal(['/tasks/0/kind']);
     expect(listPointers({ ...good, createdAt: NOW + 1_001 })).to.deep.equal(['/createdAt']);
@@ -55,7 +55,7 @@
 });
 
 describe('digestJob', () => {
-  it('names the parts that differ', () => {
+  it('distinguishes the parts that differ', () => {
     const left = digestJob({ event: 'a', tasks: [{ kind: 'k', body: '1' }] });
     const right = digestJob({ event: 'a', tasks: [{ kind: 'k', body: '2' }] });
     expect(findDifferences(left, right)).to.deep.equal(['bodies of tasks']);
--- a/src/request/checkJobRequest.ts
+++ b/src/request/checkJobRequest.ts
@@ -44,7 +44,7 @@
   readonly tasks: readonly { readonly kind: string; readonly body: unknown }[];
 }
 
-/** What a check needs besides the input. */
+/** Context of a check. */
 export interface RequestContext {
   readonly config: ConfigState;
   /** Ms since the epoch. */
@@ -55,17 +55,17 @@
   readonly team: string;
 }
 
-/** A submission, or everything that is wrong with it. */
+/** Checked submission, or the list of findings. */
 export type RequestCheck =
   | { readonly ok: true; readonly request: JobRequest }
   | { readonly ok: false; readonly findings: readonly Finding[] };
 
 /**
- * Checks a submission: its shape, its key's age, its event and its kinds.
+ * Checks a submission: its schema, creation time, event and task kinds.
  *
  * @param input - the parsed JSON
- * @param context - configuration and clock
- * @returns the submission, or every finding with its JSON pointer
+ * @param context - configuration, time and caller
+ * @returns the submission, or all findings with their JSON pointers
  * @example
  * checkJobRequest({}, context); // { ok: false, findings: [{ pointer: '/job', message: 'is missing' }, ...] }
  */
@@ -81,7 +81,7 @@
   return { ok: true, request: { job, createdAt, event, deadlineMs, tasks, caller, team } };
 }
 
-/** Reads the creation time that a UUIDv7 carries, in ms since the epoch. */
+/** Reads the creation time from a UUIDv7, ms since the epoch; undefined for other keys. */
 function readUuidTime(key: string): number | undefined {
   if (!isUuid(key) || readUuidVersion(key) !== 7) return undefined;
   return Number.parseInt(key.replaceAll('-', '').slice(0, 12), 16);
--- a/src/request/digestJob.ts
+++ b/src/request/digestJob.ts
@@ -1,11 +1,11 @@
 import { hashTextToHex } from '../_lib/hash.js';
 import type { JobRequest } from './job.js';
 
-/** The parts of a job's contents that a digest tells apart, in its order. */
+/** Names of the parts of a digest, in order. */
 const DIGEST_PART_NAMES = ['event', 'number of tasks', 'kinds of tasks', 'bodies of tasks'] as const;
 
 /**
- * Hashes the contents of a job, part by part. The deadline is not part of them.
+ * Hashes the contents of a job, each part separately. The deadline is not included.
  *
  * @param request - the submission
  * @returns the hashes joined by dots
@@ -20,11 +20,11 @@
 }
 
 /**
- * Names the parts in which two digests differ.
+ * Finds the parts in which two digests differ.
  *
  * @param left - one digest
  * @param right - the other
- * @returns the names of the parts; empty when the contents are the same
+ * @returns the names of the parts; empty if the contents are equal
  * @example
  * findDifferences('a.b.c.d', 'a.b.c.e'); // ['bodies of tasks']
  */
--- a/src/request/dispatch/JobBounds.test.ts
+++ b/src/request/dispatch/JobBounds.test.ts
@@ -10,7 +10,7 @@
 }
 
 describe('JobBounds', () => {
-  it('finds a job with too many steps or tasks, and none in a job at the bounds', () => {
+  it('rejects a job with too many steps or tasks, and accepts one at the limits', () => {
     const bounds = new JobBounds(LIMITS);
     expect(bounds.findExcess(buildJob([STEP, STEP, STEP]))).to.have.length(1);
     expect(bounds.findExcess(buildJob([{ ...STEP, count: 9 }]))).to.have.length(1);
@@ -24,7 +24,7 @@
     ).to.deep.equal([]);
   });
 
-  it('takes jobs up to their number and up to their bytes, and more once one is let go', () => {
+  it('admits jobs up to the limits of number and bytes, and another one after a release', () => {
     const bounds = new JobBounds(LIMITS);
     expect(bounds.take(buildJob([STEP]))).to.equal(true);
     expect(bounds.take(buildJob([STEP], 'x'.repeat(10_000)))).to.equal(false);
--- a/src/request/dispatch/JobBounds.ts
+++ b/src/request/dispatch/JobBounds.ts
@@ -1,16 +1,13 @@
-/** Bounds of the jobs that a dispatcher holds: of each by itself, and of all that are open at once. */
+/** Limits of the jobs at a dispatcher, for a single job and for all open jobs. */
 import { assertInvariant } from '../../_lib/assertInvariant.js';
 import type { Finding } from '../../_lib/finding.js';
 import type { JobSubmission } from './submission.js';
 
-/**
- * Memory of a job and of each of its tasks besides their texts, bytes: twice the heap that 20,000 jobs of one task
- * (1,166 bytes each) and 50 of 2,000 tasks (269 bytes a task) took on 2026-12-02; the rest is for sockets.
- */
+/** Estimated memory of a job and of each of its tasks, without texts but including sockets, bytes. */
 const JOB_BYTES = 2_048;
 const TASK_BYTES = 512;
 
-/** The bounds, from the settings. */
+/** Limits from the settings. */
 export interface JobLimits {
   readonly maxOpenJobs: number;
   readonly maxOpenBytes: number;
@@ -18,24 +15,24 @@
   readonly maxJobSteps: number;
 }
 
-/** Counts what is open. */
+/** Counts open jobs and their memory, and enforces the limits. */
 export class JobBounds {
   private jobs = 0;
   private bytes = 0;
 
   constructor(private readonly limits: JobLimits) {}
 
-  /** Jobs that are held. */
+  /** Number of open jobs. */
   get openJobs(): number {
     return this.jobs;
   }
 
-  /** Memory that they take by estimate, bytes. */
+  /** Estimated memory of the open jobs, bytes. */
   get openBytes(): number {
     return this.bytes;
   }
 
-  /** Finds why a job would never be taken. */
+  /** Finds the limits of a single job that a submission exceeds. */
   findExcess({ steps }: JobSubmission): Finding[] {
     const { maxJobSteps, maxJobTasks } = this.limits;
     if (steps.length > maxJobSteps) {
@@ -45,7 +42,7 @@
     return [{ pointer: '/steps', message: `must be at most ${maxJobTasks} tasks in all` }];
   }
 
-  /** Takes a job; false, with nothing changed, if there is no room for it now. */
+  /** Admits a job; returns false, without any change, if it would exceed the limits of all open jobs. */
   take(submission: JobSubmission): boolean {
     const bytes = this.bytes + estimateBytes(submission);
     if (this.jobs >= this.limits.maxOpenJobs || bytes > this.limits.maxOpenBytes) return false;
@@ -54,11 +51,11 @@
     return true;
   }
 
-  /** Lets go a job that was taken. */
+  /** Releases an admitted job. */
   release(submission: JobSubmission): void {
     this.jobs -= 1;
     this.bytes -= estimateBytes(submission);
-    assertInvariant(this.jobs >= 0 && this.bytes >= 0, 'only jobs that were taken are let go');
+    assertInvariant(this.jobs >= 0 && this.bytes >= 0, 'a job was released that had not been admitted');
   }
 }
 
@@ -66,7 +63,7 @@
   return steps.reduce((sum, { count }) => sum + count, 0);
 }
 
-/** Twice the text, as the heap may hold two bytes a character. */
+/** Estimates the memory of a job; a character may take two bytes of heap. */
 function estimateBytes({ spec, steps }: JobSubmission): number {
   return JOB_BYTES + spec.length * 2 + countTasks(steps) * TASK_BYTES;
 }
--- a/src/request/dispatch/resources.ts
+++ b/src/request/dispatch/resources.ts
@@ -1,7 +1,7 @@
-/** Arithmetic of what tasks take. */
+/** Arithmetic on resources. */
 import type { Resources } from './submission.js';
 
-/** Nothing at all. */
+/** No resources. */
 export const NO_RESOURCES: Resources = { cpuMilli: 0, memoryMb: 0, gpus: 0 };
 
 /**
@@ -9,7 +9,7 @@
  *
  * @param left - an amount
  * @param right - another
- * @returns the sum of each part
+ * @returns the sum of each resource
  * @example
  * addResources(NO_RESOURCES, need); // need
  */
@@ -22,11 +22,11 @@
 }
 
 /**
- * Subtracts an amount.
+ * Subtracts an amount from another.
  *
- * @param left - what there is
- * @param right - what is taken
- * @returns the difference of each part; parts may be negative
+ * @param left - the amount to subtract from
+ * @param right - the amount to subtract
+ * @returns the difference of each resource, which may be negative
  */
 export function subtractResources(left: Resources, right: Resources): Resources {
   return {
@@ -37,11 +37,11 @@
 }
 
 /**
- * Tells whether an amount fits into another.
+ * Checks whether an amount fits into the free resources.
  *
- * @param need - what is wanted
- * @param free - what there is
- * @returns true if no part is short
+ * @param need - required amount
+ * @param free - free amount
+ * @returns true if every resource suffices
  * @example
  * fitResources(NO_RESOURCES, free); // true
  */
@@ -50,11 +50,11 @@
 }
 
 /**
- * Tells whether two amounts are the same.
+ * Checks whether two amounts are equal.
  *
  * @param left - an amount
  * @param right - another
- * @returns true if each part is the same
+ * @returns true if every resource is equal
  * @example
  * equalResources(NO_RESOURCES, NO_RESOURCES); // true
  */
--- a/src/request/dispatch/submission.ts
+++ b/src/request/dispatch/submission.ts
@@ -1,8 +1,8 @@
-/** What a caller asks for: a job that lives as long as its caller's connection. */
+/** Job submitted to a dispatcher, which is open for as long as its caller's connection, and its outcome. */
 import type { Finding } from '../../_lib/finding.js';
 import type { QueueRoute } from '../../version/configuration.js';
 
-/** What one task takes of an upstream while it runs. */
+/** Resources of an upstream that a task uses while it runs. */
 export interface Resources {
   /** Thousandths of a core. */
   readonly cpuMilli: number;
@@ -10,40 +10,42 @@
   readonly gpus: number;
 }
 
-/** Parallel tasks that start together once the steps before them are done. */
+/** Step of a job: parallel tasks that start together once the steps before them are done. */
 export interface StepNeed {
   readonly count: number;
   readonly resources: Resources;
-  /** The caller's guess of one task's time, ms. */
+  /** The caller's estimate of the duration of one task, ms. */
   readonly estimateMs: number;
-  /** Numbers of earlier steps that must be done first. */
+  /** Indexes of earlier steps that must be done first. */
   readonly after: readonly number[];
   /** Label that the upstream must have; empty for any. */
   readonly requiredLabel: string;
-  /** Rack that holds the data; empty for any. */
+  /** Rack that holds the data; empty for none. */
   readonly preferredRack: string;
 }
 
-/** A job as the front door has read it. */
+/** Job submission after its checks. */
 export interface JobSubmission {
-  /** The caller's id of the job. */
+  /** Job id given by the caller. */
   readonly id: string;
   readonly route: QueueRoute;
-  /** Text that is handed to every task. */
+  /** Text passed to every task. */
   readonly spec: string;
   readonly steps: readonly StepNeed[];
-  /** Time that the caller waits from now on, ms. */
+  /** Caller timeout: remaining time that the caller waits, ms. */
   readonly patienceMs: number;
 }
 
-/** The one answer of a job. */
+/** Final outcome of a job. */
 export type JobOutcome =
   | { readonly kind: 'completed' }
   /** A task has failed as often as its queue allows, or upstreams crash under it. */
   | { readonly kind: 'failed'; readonly reason: string }
-  /** The job is given up and parts of it may have run; submitted again it may run anew. */
+  /** The job was abandoned; some of its tasks may have run, and may run again if it is resubmitted. */
   | { readonly kind: 'interrupted'; readonly reason: string }
-  /** The job is larger than any that is taken; nothing of it has run, and it is not to be submitted again. */
+  /**
+   * The job exceeds the limits of a single job; none of its tasks has run, and it should not be resubmitted.
+   */
   | { readonly kind: 'rejected'; readonly reason: string; readonly findings: readonly Finding[] }
-  /** Nothing of the job has run or ever will under this submission. */
+  /** None of the job's tasks has run, or will run under this submission. */
   | { readonly kind: 'refused'; readonly reason: string; readonly retryAfterMs: number };
--- a/src/request/job.ts
+++ b/src/request/job.ts
@@ -1,4 +1,4 @@
-/** A job and its tasks as the entry that coordinates it knows them. */
+/** State of a job and its tasks in the entry that coordinates it. */
 import { NO_EPOCH } from '../connection/compareEpochs.js';
 import type { Epoch } from '../connection/messages.js';
 import type { JobState } from './jobMachine.js';
@@ -14,13 +14,13 @@
 /** A submission after its checks. */
 export interface JobRequest {
   readonly job: string;
-  /** Creation of the key, ms since the epoch. */
+  /** Creation time of the key, ms since the epoch. */
   readonly createdAt: number;
   readonly event: string;
-  /** Longest useful time to the answer in ms; undefined for that of the kinds. */
+  /** Time after which the answer is of no use, ms; undefined for that of the kinds. */
   readonly deadlineMs: number | undefined;
   readonly tasks: readonly TaskRequest[];
-  /** Who sent it, for fair shares; empty when not told. */
+  /** Caller and its team, for fair shares; empty if not given. */
   readonly caller: string;
   readonly team: string;
 }
@@ -32,17 +32,17 @@
   readonly body: string;
 }
 
-/** Whether a failed job ran: `some` when at least one task is known to have started. */
+/** Whether a failed job ran; `some` if at least one task is known to have started. */
 export type Ran = 'unknown' | 'some';
 
-/** The one outcome that a caller receives. */
+/** Final outcome of a job, as sent to the caller. */
 export type JobAnswer =
   | { readonly outcome: 'complete'; readonly answers: readonly TaskAnswer[] }
   | { readonly outcome: 'refused'; readonly reason: string; readonly retryAfterMs: number }
   | { readonly outcome: 'failed'; readonly ran: Ran; readonly reason: string; readonly retryAfterMs: number }
   | { readonly outcome: 'conflict'; readonly differs: readonly string[] };
 
-/** One task in the owning entry. */
+/** Task in the entry that owns its job. */
 export interface Task {
   /** Key of its job. */
   readonly job: string;
@@ -51,17 +51,17 @@
   body: string;
   state: TaskState;
   attempt: number;
-  /** Agent incarnation it was sent to. */
+  /** Agent incarnation that the task was sent to. */
   agent: string;
   sentAt: number;
-  /** When to ask the agent again, ms since the epoch. */
+  /** Time of the next query to the agent, ms since the epoch. */
   askAt: number;
   readonly expectedMs: number;
   status: number;
   answer: string;
 }
 
-/** One job in an entry. */
+/** Job in an entry. */
 export interface Job {
   readonly key: string;
   readonly createdAt: number;
@@ -69,73 +69,73 @@
   readonly event: string;
   readonly caller: string;
   readonly team: string;
-  /** Empty once the job has ended for good. */
+  /** Cleared once the job has reached its final outcome. */
   tasks: Task[];
   readonly taskCount: number;
-  /** Operator priority: the lowest of its kinds. */
+  /** Operator priority: the lowest number among its kinds. */
   readonly priority: number;
   state: JobState;
   arrivedAt: number;
-  /** Latest useful answer, ms since the epoch. */
+  /** Time after which the answer is of no use, ms since the epoch. */
   deadline: number;
   epoch: Epoch;
-  /** Agent set of the claim. */
+  /** Id of the agent set of the claim. */
   setId: number;
   /** Agent incarnations that any owner of the job may have used. */
   members: readonly string[];
-  /** Indexes of queued tasks; the last is sent first. */
+  /** Indexes of the queued tasks; the last is sent first. */
   queued: number[];
   finished: number;
   /** Expected work of all tasks, ms. */
   readonly workMs: number;
-  /** Expected work of the tasks not yet finished, ms. */
+  /** Expected work of the unfinished tasks, ms. */
   remainingMs: number;
   rank: number;
-  /** Counts the rank's changes, so that stale queue items are known. */
+  /** Number of changes of the rank, to detect stale queue items. */
   rankVersion: number;
   /** Id of the claim in flight; 0 for none. */
   claimId: number;
   claimMode: string;
-  /** Agent set that the claim in flight names. */
+  /** Id of the agent set in the claim in flight. */
   claimSetId: number;
   claimSince: number;
   claimAt: number;
-  /** How often the claim was sent. */
+  /** Number of times the claim was sent. */
   claimTries: number;
-  /** Epoch that a takeover names, and the owner it ends. */
+  /** Epoch that a takeover expects, and the owner that it replaces. */
   expected: Epoch;
   owner: string;
   attachId: number;
-  /** Since when the owner has been out of reach; 0 while it is heard. */
+  /** When the owner became unreachable, ms since the epoch; 0 while it is reachable. */
   ownerLostAt: number;
-  /** Members that have not answered the sweep. */
+  /** Members that have not replied to the sweep. */
   sweeping: Set<string>;
   sweepSince: number;
   sweepAt: number;
-  /** Members that can no longer say what they started. */
+  /** Members that can no longer report which tasks they started. */
   lostMembers: string[];
-  /** Why admission refuses the job unless it is known already; undefined when admitted. */
+  /** Refusal by admission control, which applies unless the job is already known; undefined if admitted. */
   refusal: { readonly reason: string; readonly retryAfterMs: number } | undefined;
-  /** Callers that wait on a connection. */
+  /** Callers waiting on a connection. */
   callers: string[];
-  /** Entries that attached, with the ids of their requests. */
+  /** Attached entries, with their request ids. */
   attached: { readonly peer: string; readonly id: number }[];
   answer: JobAnswer | undefined;
-  /** True for a job that ended without ever being claimed: nothing of it ran here. */
+  /** Whether the job ended without having been claimed, so that none of its tasks ran. */
   unclaimed: boolean;
   endedAt: number;
-  /** Bytes of bodies and answers, for the entry's bounds. */
+  /** Size of bodies and answers, bytes, counted against the entry's limit. */
   bytes: number;
-  /** Tasks that refusals sent back, for the retry budget. */
+  /** Number of tasks requeued after refusals, counted against the retry budget. */
   retries: number;
 }
 
 /**
- * Creates a job that has not been claimed.
+ * Creates a job that has not been claimed yet.
  *
  * @param request - the checked submission
- * @param digest - hash of its contents
- * @param options - what the event's configuration and the clock add
+ * @param digest - digest of its contents
+ * @param options - values from the configuration and the clock
  * @returns the job, in state `claiming`
  */
 export function createJob(
@@ -196,9 +196,9 @@
 }
 
 /**
- * Queues the tasks that are in state `queued`, longest last so that it is sent first.
+ * Builds the queue from the tasks in state `queued`, longest last, so that it is sent first.
  *
- * @param job - the job, which is changed
+ * @param job - the job; updated
  */
 export function queueTasks(job: Job): void {
   const queued = job.tasks.filter((task) => task.state === 'queued');
--- a/src/request/jobMachine.ts
+++ b/src/request/jobMachine.ts
@@ -6,11 +6,11 @@
 export type JobState =
   'claiming' | 'attached' | 'sweeping' | 'held' | 'running' | 'complete' | 'failed' | 'refused';
 
-/** What can happen to a job in an entry. */
+/** Events of a job in an entry. */
 export type JobEvent =
   'attach' | 'sweep' | 'hold' | 'run' | 'reclaim' | 'complete' | 'fail' | 'refuse' | 'resubmit';
 
-/** Life of a job in an entry, from its claim to its one final outcome. */
+/** Lifecycle of a job in an entry, from its claim to its outcome. */
 export const jobMachine = createMachine({
   id: 'job',
   initial: 'claiming',
@@ -37,16 +37,16 @@
   },
 });
 
-/** The transitions of `jobMachine`. */
+/** Transitions of `jobMachine`. */
 export const JOB_TABLE = compileMachine<JobState, JobEvent>(jobMachine);
 
 const ENDED: ReadonlySet<JobState> = new Set(['complete', 'failed', 'refused']);
 
 /**
- * Tells whether a job has its outcome.
+ * Checks whether a job has ended.
  *
  * @param state - the job's state
- * @returns true when it is complete, failed or refused
+ * @returns true if it is complete, failed or refused
  * @example
  * isEnded('running'); // false
  */
--- a/src/request/placement.ts
+++ b/src/request/placement.ts
@@ -1,32 +1,32 @@
-/** Which agent a task goes to. */
+/** Selection of the agent for a task. */
 
-/** What a placement knows of an agent. */
+/** Agent that may be selected. */
 export interface AgentChoice {
   readonly peer: string;
   readonly slots: number;
-  /** Credits not used yet. */
+  /** Unused credits. */
   readonly credits: number;
   /** Tasks sent by this entry that have not ended. */
   readonly outstanding: number;
-  /** Measured duration over the expected one; 1 is as expected. */
+  /** Ratio of measured to expected duration. */
   readonly slowness: number;
 }
 
-/** Chooses the agent for a task. */
+/** Selects the agent for a task. */
 export abstract class Placement {
   /** Whether a task may be sent without a credit. */
   abstract readonly needsCredit: boolean;
 
   /**
-   * Chooses among agents that may take the task.
+   * Selects one of the agents that may run the task.
    *
-   * @param agents - the candidates; each has a credit where the placement needs one
-   * @returns one of them, or undefined to let the task wait
+   * @param agents - the candidates; each has a credit if the placement needs one
+   * @returns the selected agent, or undefined if the task must wait
    */
   abstract chooseAgent(agents: readonly AgentChoice[]): AgentChoice | undefined;
 }
 
-/** Any agent, without regard to credits: the baseline. */
+/** Selects a random agent, regardless of credits; a baseline. */
 export class RandomPlacement extends Placement {
   override readonly needsCredit = false;
 
@@ -39,10 +39,10 @@
   }
 }
 
-/** Slowness above which an agent is used only when nothing else has a credit. */
+/** Slowness above which an agent is used only if no other one has a credit. */
 export const MAX_SLOWNESS = 3;
 
-/** The agent with the earliest estimated start among those with a credit. */
+/** Selects the agent with the least estimated delay among those with a credit. */
 export class CreditPlacement extends Placement {
   override readonly needsCredit = true;
 
@@ -59,9 +59,12 @@
   }
 }
 
-/** Relative delay: load for each slot, weighed by slowness, and far behind the others when ejected. */
+/**
+ * Estimates a relative delay: load per slot, weighted by slowness, with a penalty for agents that are too
+ * slow.
+ */
 function estimateDelay(agent: AgentChoice): number {
   const load = (agent.outstanding + 1) / agent.slots;
-  const ejected = agent.slowness > MAX_SLOWNESS ? 1_000 : 0;
-  return load * agent.slowness - agent.credits / (100 * agent.slots) + ejected;
+  const penalty = agent.slowness > MAX_SLOWNESS ? 1_000 : 0;
+  return load * agent.slowness - agent.credits / (100 * agent.slots) + penalty;
 }
--- a/src/request/taskMachine.ts
+++ b/src/request/taskMachine.ts
@@ -5,12 +5,12 @@
 /** State of a task in the entry that owns its job. */
 export type TaskState = 'queued' | 'sent' | 'finished' | 'unknown';
 
-/** What can happen to a task in an entry. */
+/** Events of a task in an entry. */
 export type TaskEvent = 'send' | 'refuse' | 'finish' | 'lose' | 'find';
 
 /**
- * Life of a task in the entry. Only a refusal by the agent that was asked brings it back to `queued`; `find`
- * is a sweep that found the task started elsewhere.
+ * Lifecycle of a task in the entry. Only a refusal by the agent that it was sent to returns it to `queued`;
+ * `find` is a sweep that found the task started elsewhere.
  */
 export const taskMachine = createMachine({
   id: 'task',
@@ -23,5 +23,5 @@
   },
 });
 
-/** The transitions of `taskMachine`. */
+/** Transitions of `taskMachine`. */
 export const TASK_TABLE = compileMachine<TaskState, TaskEvent>(taskMachine);
