--- a/src/process/executor/CapacityShares.test.ts
+++ b/src/process/executor/CapacityShares.test.ts
@@ -4,93 +4,93 @@
 import type { DispatcherUsage } from './CapacityShares.js';
 
 const TASK = 1_000;
-const ENTRIES: DispatcherUsage[] = ['a', 'b', 'c'].map((life) => ({
-  life,
+const DISPATCHERS: DispatcherUsage[] = ['a', 'b', 'c'].map((incarnation) => ({
+  incarnation,
   used: 0,
-  isPreferred: life === 'a',
+  isPreferred: incarnation === 'a',
 }));
-/** Long after the first starts, so that they weigh nothing any more. */
+/** Time at which the first starts have decayed. */
 const LATER = 10_000;
 
-describe('RoomShares', () => {
+describe('CapacityShares', () => {
   let shares: CapacityShares;
 
-  function tell(life: string, free: number, now = LATER, entries = ENTRIES): number {
-    return shares.reportShare(life, free, entries, now).cpuMilli;
+  function report(dispatcher: string, free: number, now = LATER, dispatchers = DISPATCHERS): number {
+    return shares.reportShare(dispatcher, free, dispatchers, now).cpuMilli;
   }
 
   beforeEach(() => {
     shares = new CapacityShares();
     shares.recordStart('a', TASK, 0);
-    for (const { life } of ENTRIES) shares.recordDemand(life, 0);
+    for (const { incarnation } of DISPATCHERS) shares.recordDemand(incarnation, 0);
   });
 
-  it('tells all of the room where nobody waits, and where one entry does', () => {
-    expect(tell('a', 8_000)).to.equal(8_000);
+  it('reports all free capacity if tasks wait at no dispatcher or at one', () => {
+    expect(report('a', 8_000)).to.equal(8_000);
     shares.recordDemand('b', 5_000);
-    expect(tell('b', 8_000)).to.equal(8_000);
+    expect(report('b', 8_000)).to.equal(8_000);
   });
 
-  it('never tells more than there is to entries that wait', () => {
-    for (const { life } of ENTRIES) shares.recordDemand(life, 50_000);
+  it('never reports more than the free capacity to waiting dispatchers', () => {
+    for (const { incarnation } of DISPATCHERS) shares.recordDemand(incarnation, 50_000);
     for (const free of [1_000, 3_500, 7_000, 12_300]) {
       const now = LATER + free;
-      const told = ENTRIES.map(({ life }) => tell(life, free, now));
-      expect(told.reduce((sum, part) => sum + part, 0)).to.be.at.most(free);
-      expect(Math.max(...told)).to.be.at.least(TASK);
+      const reported = DISPATCHERS.map(({ incarnation }) => report(incarnation, free, now));
+      expect(reported.reduce((sum, share) => sum + share, 0)).to.be.at.most(free);
+      expect(Math.max(...reported)).to.be.at.least(TASK);
     }
   });
 
-  it('tells room for one task to one entry', () => {
+  it('reports capacity for one task to one dispatcher', () => {
     shares.recordDemand('b', TASK);
     shares.recordDemand('c', TASK);
-    expect([tell('b', TASK), tell('c', TASK)]).to.deep.equal([TASK, 0]);
+    expect([report('b', TASK), report('c', TASK)]).to.deep.equal([TASK, 0]);
   });
 
-  it('gives a part that is not used for a round trip to another', () => {
+  it('reports a share that is unused for a round trip to another dispatcher', () => {
     shares.recordDemand('b', 5_000);
     shares.recordDemand('c', 5_000);
-    expect(tell('b', TASK)).to.equal(TASK);
-    expect(tell('c', TASK, LATER + 10)).to.equal(0);
-    expect(tell('c', TASK, LATER + 40)).to.equal(TASK);
+    expect(report('b', TASK)).to.equal(TASK);
+    expect(report('c', TASK, LATER + 10)).to.equal(0);
+    expect(report('c', TASK, LATER + 40)).to.equal(TASK);
   });
 
-  it('takes back at once what an entry held whose link is gone or is not to be used', () => {
+  it('frees the share of a dispatcher without a usable link at once', () => {
     shares.recordDemand('b', 5_000);
     shares.recordDemand('c', 5_000);
-    expect(tell('b', TASK)).to.equal(TASK);
-    const others = ENTRIES.filter(({ life }) => life !== 'b');
-    expect(tell('c', TASK, LATER, others)).to.equal(TASK);
+    expect(report('b', TASK)).to.equal(TASK);
+    const others = DISPATCHERS.filter(({ incarnation }) => incarnation !== 'b');
+    expect(report('c', TASK, LATER, others)).to.equal(TASK);
   });
 
-  it('keeps room for an entry that has started tasks of late and does not wait', () => {
-    tell('a', 4_000);
+  it('reserves capacity for a dispatcher with recent starts and no waiting tasks', () => {
+    report('a', 4_000);
     for (let started = 0; started < 2; started += 1) shares.recordStart('a', TASK, LATER);
     shares.recordDemand('b', 50_000);
-    expect(tell('b', 3_000, LATER + 1)).to.equal(2_000);
+    expect(report('b', 3_000, LATER + 1)).to.equal(2_000);
   });
 
-  it('tells all of the room to an entry that does not tell its demand, and counts no part for it', () => {
+  it('reports all free capacity to a dispatcher that does not report its demand, and reserves nothing for it', () => {
     shares.recordDemand('a', undefined);
     shares.recordDemand('b', 5_000);
     shares.recordDemand('c', 5_000);
-    expect(tell('a', 4_000)).to.equal(4_000);
-    expect(tell('b', 4_000) + tell('c', 4_000)).to.equal(4_000);
+    expect(report('a', 4_000)).to.equal(4_000);
+    expect(report('b', 4_000) + report('c', 4_000)).to.equal(4_000);
   });
 
-  it('tells an entry between pings that waits and may have more, not one that knows its part', () => {
+  it('reports between pings if a waiting dispatcher can get more, not if its share is unchanged', () => {
     shares.recordDemand('b', 5_000);
-    expect(shares.isDue('b', 3_000, ENTRIES, LATER)).to.equal(true);
-    tell('b', 3_000);
-    expect(shares.isDue('b', 3_000, ENTRIES, LATER)).to.equal(false);
-    expect(shares.reportShare('b', 3_000, ENTRIES, LATER).isKnown).to.equal(true);
+    expect(shares.isDue('b', 3_000, DISPATCHERS, LATER)).to.equal(true);
+    report('b', 3_000);
+    expect(shares.isDue('b', 3_000, DISPATCHERS, LATER)).to.equal(false);
+    expect(shares.reportShare('b', 3_000, DISPATCHERS, LATER).isUnchanged).to.equal(true);
   });
 
-  it('corrects an entry that was told more than there is, once others wait', () => {
-    tell('a', 4_000);
-    expect(shares.isDue('a', 0, ENTRIES, LATER + 50)).to.equal(false);
+  it('corrects a reported share that is too large once tasks wait at others', () => {
+    report('a', 4_000);
+    expect(shares.isDue('a', 0, DISPATCHERS, LATER + 50)).to.equal(false);
     shares.recordDemand('b', 5_000);
     shares.recordDemand('c', 5_000);
-    expect(shares.isDue('a', 0, ENTRIES, LATER + 50)).to.equal(true);
+    expect(shares.isDue('a', 0, DISPATCHERS, LATER + 50)).to.equal(true);
   });
 });
--- a/src/process/executor/CapacityShares.ts
+++ b/src/process/executor/CapacityShares.ts
@@ -1,197 +1,230 @@
 /**
- * What entries were told of an agent's room and ask for of it. Where two or more have tasks that wait, each is told a part,
- * so that they do not send to the same room. Only what is told is divided: a start beyond its entry's part is taken all
- * the same while there is room, and a part is no permission, so that none can be lost with its entry.
+ * Divides the free capacity of an executor among dispatchers by their demand. If tasks wait at two or more of
+ * them, each is sent a share, so that they do not all send tasks for the same capacity. Shares only affect
+ * reports: a start beyond the share of its dispatcher is accepted while there is free capacity, and a crashed
+ * dispatcher holds no capacity.
  */
 import { divideCapacity } from './divideCapacity.js';
 
-/** Time in which the weight of a start falls to a third, ms: about a ping, so that an entry that was calm keeps room. */
-const RECENT_MS = 200;
-/** Time for which an entry that was told room is counted on to use it, ms: a round trip, and a turn of its loop. */
-const HOLD_MS = 20;
-/** Time after which an entry that has not used its part does not count as waiting, ms: its tasks do not go here. */
-const UNUSED_MS = 30;
-/** Time for which room is kept for what entries without waiting tasks will probably start, ms: part of a ping. */
-const AHEAD_MS = 40;
-/** Tasks for which room is kept for an entry that has started some of late: those of a job come together. */
-const KEPT_TASKS = 1;
-/** Most tasks that count of what waits at an entry: it may send to other agents as well. */
+/** Time constant of the exponential decay of recent starts, ms; about a ping interval. */
+const RECENT_DECAY_MS = 200;
+/**
+ * Time for which a reported share is reserved, ms: a round trip and a turn of the dispatcher's event loop.
+ */
+const RESERVATION_MS = 20;
+/** Time without a start after which a dispatcher's demand is ignored, ms, as its tasks are sent elsewhere. */
+const UNUSED_TIMEOUT_MS = 30;
+/** Time for which the expected starts of dispatchers without waiting tasks are reserved, ms. */
+const FORECAST_MS = 40;
+/** Tasks reserved for a dispatcher with recent starts, as the tasks of a job come together. */
+const RESERVED_TASKS = 1;
+/** Limit of the demand counted for a dispatcher, in tasks; it may send to other executors as well. */
 const MAX_COUNTED_TASKS = 4;
-/** Tasks by which an entry may be over its part and still get back the room of its own task, which it uses soonest. */
-const KEPT_OVER_TASKS = 4;
-/** Age from which on an entry is told that it was told too much, ms: its starts may be on their way. */
-const CORRECT_MS = 30;
-/** Part of a task's size by which what counts as room for one may be short of it: sizes change. */
-const SIZE_SLACK = 0.25;
-/** Part by which the size of a task falls with each smaller one. */
-const TASK_FALL = 0.02;
-
-/** An entry that may be told room. */
+/**
+ * Tasks by which a dispatcher may exceed its share and still be offered the capacity of its own ended task,
+ * which it can reuse soonest.
+ */
+const TOLERATED_TASKS = 4;
+/** Age of a report before it is corrected downwards, ms, as starts may be in flight. */
+const CORRECTION_DELAY_MS = 30;
+/** Fraction of the task size by which capacity for one task may fall short, as sizes vary. */
+const SIZE_TOLERANCE = 0.25;
+/** Fraction by which the estimated task size decreases with each smaller task. */
+const TASK_SIZE_DECAY = 0.02;
+
+/** Usage of a dispatcher that may be sent capacity. */
 export interface DispatcherUsage {
-  readonly life: string;
-  /** What its tasks take here, thousandths of a core. */
+  readonly incarnation: string;
+  /** Capacity that its tasks use here, thousandths of a core. */
   readonly used: number;
   readonly isPreferred: boolean;
 }
 
-/** What an entry is to be told. Amounts are thousandths of a core. */
+/** Share to report to a dispatcher. Amounts are thousandths of a core. */
 export interface ReportedShare {
   readonly cpuMilli: number;
-  /** Whether the entry knows it by what it was told and has sent since. */
-  readonly isKnown: boolean;
+  /** Whether it equals the last reported share less the starts since then. */
+  readonly isUnchanged: boolean;
 }
 
 interface DispatcherShare {
-  /** Processor room that its waiting tasks ask for; undefined where it does not tell. */
+  /** Demand of its waiting tasks; undefined if not reported. */
   waiting: number | undefined;
-  /** Decaying sum of what it has started here, and when it was last added to. */
+  /** Decaying sum of the sizes of its starts here, and when it was last updated. */
   recent: number;
   recentAt: number;
-  /** What it was told and has not used since. */
-  held: number;
-  toldAt: number;
-  /** Since when it could have used its part; undefined while it has none. */
-  heldSince: number | undefined;
+  /** Last reported share less the starts since then. */
+  reported: number;
+  reportedAt: number;
+  /** Since when it has had a share without using it; undefined while it has none. */
+  unusedSince: number | undefined;
 }
 
-/** Shares of one agent's room. Amounts are in thousandths of a core; points in time are monotonic ms. */
+/**
+ * Shares of one executor's capacity. Amounts are in thousandths of a core; points in time are monotonic ms.
+ */
 export class CapacityShares {
   private readonly shares = new Map<string, DispatcherShare>();
-  /** What the larger tasks of late take; 0 before the first. */
-  private task = 0;
+  /** Estimated size of the larger recent tasks; 0 before the first. */
+  private taskSize = 0;
 
-  /** Entries at which tasks wait. */
+  /** Number of dispatchers at which tasks wait. */
   get waitingDispatchers(): number {
     return [...this.shares.values()].filter(({ waiting = 0 }) => waiting > 0).length;
   }
 
-  /** Room that all entries together ask for. */
+  /** Total demand of all dispatchers. */
   get demand(): number {
     let demand = 0;
     for (const { waiting = 0 } of this.shares.values()) demand += waiting;
     return demand;
   }
 
-  /** Whether an entry tells what waits; others are told all of the room. */
-  hasReportedDemand(life: string): boolean {
-    return this.shares.get(life)?.waiting !== undefined;
+  /** Whether a dispatcher reports its demand; others are sent the undivided capacity. */
+  hasReportedDemand(dispatcher: string): boolean {
+    return this.shares.get(dispatcher)?.waiting !== undefined;
   }
 
-  /** Takes what waits at an entry; undefined where it does not tell. */
-  recordDemand(life: string, waiting: number | undefined): void {
-    this.find(life).waiting = waiting;
+  /** Records the demand of a dispatcher; undefined if not reported. */
+  recordDemand(dispatcher: string, waiting: number | undefined): void {
+    this.find(dispatcher).waiting = waiting;
   }
 
-  /** An entry has ordered a start. */
-  recordStart(life: string, cpuMilli: number, now: number): void {
-    const share = this.find(life);
+  /** Records a start ordered by a dispatcher. */
+  recordStart(dispatcher: string, cpuMilli: number, now: number): void {
+    const share = this.find(dispatcher);
     share.recent = readRecent(share, now) + cpuMilli;
     share.recentAt = now;
-    this.task = Math.max(cpuMilli, this.task * (1 - TASK_FALL));
-    this.recordShare(share, Math.max(0, share.held - cpuMilli), now);
-    if (share.heldSince !== undefined) share.heldSince = now;
+    this.taskSize = Math.max(cpuMilli, this.taskSize * (1 - TASK_SIZE_DECAY));
+    this.recordShare(share, Math.max(0, share.reported - cpuMilli), now);
+    if (share.unusedSince !== undefined) share.unusedSince = now;
   }
 
-  /** The link of an entry is new: it was told nothing. */
-  handleLinked(life: string): void {
-    this.shares.delete(life);
+  /** Resets a dispatcher that has a new link, on which nothing has been reported. */
+  handleLinked(dispatcher: string): void {
+    this.shares.delete(dispatcher);
   }
 
-  /** An entry is gone. */
-  forget(life: string): void {
-    this.shares.delete(life);
+  /** Removes a dispatcher. */
+  forget(dispatcher: string): void {
+    this.shares.delete(dispatcher);
   }
 
   /**
-   * Finds what an entry is to be told, and takes it for told.
+   * Finds the share to report to a dispatcher, and records it as reported.
    *
-   * @param life - of the entry
-   * @param free - room that nobody uses
-   * @param entries - all that may be told room, this one among them
-   * @param now - the time
-   * @returns its part; all of the room where it does not compete
+   * @param dispatcher - incarnation of the dispatcher
+   * @param free - free capacity
+   * @param dispatchers - all dispatchers that may be sent capacity, including this one
+   * @param now - current time
+   * @returns its share; all of the free capacity if no other dispatcher competes for it
    */
-  reportShare(life: string, free: number, entries: readonly DispatcherUsage[], now: number): ReportedShare {
-    const share = this.find(life);
-    const cpuMilli = this.findReportedShare(life, free, entries, now);
-    const isKnown = cpuMilli === share.held;
-    if (!isKnown) share.toldAt = now;
+  reportShare(
+    dispatcher: string,
+    free: number,
+    dispatchers: readonly DispatcherUsage[],
+    now: number,
+  ): ReportedShare {
+    const share = this.find(dispatcher);
+    const cpuMilli = this.findReportedShare(dispatcher, free, dispatchers, now);
+    const isUnchanged = cpuMilli === share.reported;
+    if (!isUnchanged) share.reportedAt = now;
     this.recordShare(share, cpuMilli, now);
-    return { cpuMilli, isKnown };
+    return { cpuMilli, isUnchanged: isUnchanged };
   }
 
   /**
-   * Tells whether an entry is to be told its part before the next ping: because it waits and there is more for it, or
-   * because it was told more than there is, where others wait.
+   * Checks whether a share is to be reported before the next ping: because tasks wait at the dispatcher and
+   * its share has grown, or because its reported share is too large while tasks wait at others.
    */
-  isDue(life: string, free: number, entries: readonly DispatcherUsage[], now: number): boolean {
-    const { waiting, held, toldAt } = this.find(life);
-    if (waiting !== 0 && this.findReportedShare(life, free, entries, now) >= held + Math.max(1, this.task))
+  isDue(dispatcher: string, free: number, dispatchers: readonly DispatcherUsage[], now: number): boolean {
+    const { waiting, reported: reported, reportedAt: reportedAt } = this.find(dispatcher);
+    if (
+      waiting !== 0 &&
+      this.findReportedShare(dispatcher, free, dispatchers, now) >= reported + Math.max(1, this.taskSize)
+    )
       return true;
-    const isOver = held >= Math.max(0, free) + this.task && now - toldAt >= CORRECT_MS;
-    return isOver && this.listWaiting(entries).length > 1;
+    const isOverReported =
+      reported >= Math.max(0, free) + this.taskSize && now - reportedAt >= CORRECTION_DELAY_MS;
+    return isOverReported && this.listWaiting(dispatchers).length > 1;
   }
 
   private findReportedShare(
-    life: string,
+    dispatcher: string,
     free: number,
-    entries: readonly DispatcherUsage[],
+    dispatchers: readonly DispatcherUsage[],
     now: number,
   ): number {
-    if (this.task === 0 || free <= 0 || !this.hasReportedDemand(life)) return free;
-    const kept = this.sumKept(life, entries, now);
-    const keptTasks = Math.floor(kept / this.task + SIZE_SLACK);
-    const left = keptTasks === 0 ? free : Math.floor(free / this.task + SIZE_SLACK - keptTasks) * this.task;
-    return Math.max(0, Math.min(free, left, this.findShare(life, free, entries, now)));
-  }
-
-  /** The part by demand; all of the room where fewer than two entries wait. */
-  private findShare(life: string, free: number, entries: readonly DispatcherUsage[], now: number): number {
-    const waiting = this.listWaiting(entries);
+    if (this.taskSize === 0 || free <= 0 || !this.hasReportedDemand(dispatcher)) return free;
+    const reserved = this.sumReserved(dispatcher, dispatchers, now);
+    const reservedTasks = Math.floor(reserved / this.taskSize + SIZE_TOLERANCE);
+    const left =
+      reservedTasks === 0
+        ? free
+        : Math.floor(free / this.taskSize + SIZE_TOLERANCE - reservedTasks) * this.taskSize;
+    return Math.max(0, Math.min(free, left, this.findDemandShare(dispatcher, free, dispatchers, now)));
+  }
+
+  /** Finds the share by demand; all of the free capacity if tasks wait at fewer than two dispatchers. */
+  private findDemandShare(
+    dispatcher: string,
+    free: number,
+    dispatchers: readonly DispatcherUsage[],
+    now: number,
+  ): number {
+    const waiting = this.listWaiting(dispatchers);
     if (waiting.length < 2) return free;
-    const claiming = entries.filter((entry) => entry.life === life || waiting.includes(entry));
-    const claims = claiming.map((entry) => {
-      const share = this.find(entry.life);
-      const isAble = share.heldSince === undefined || now - share.heldSince <= UNUSED_MS;
-      const waits = isAble ? Math.min(share.waiting ?? 0, MAX_COUNTED_TASKS * this.task) : 0;
-      const keptOver = entry.life === life && waits > 0 ? KEPT_OVER_TASKS * this.task : 0;
-      const used = Math.max(0, entry.used - keptOver);
-      return { demand: waits + readRecent(share, now), used, isHome: entry.isPreferred };
+    const claimants = dispatchers.filter((one) => one.incarnation === dispatcher || waiting.includes(one));
+    const claims = claimants.map((one) => {
+      const share = this.find(one.incarnation);
+      const usesShare = share.unusedSince === undefined || now - share.unusedSince <= UNUSED_TIMEOUT_MS;
+      const countedDemand = usesShare ? Math.min(share.waiting ?? 0, MAX_COUNTED_TASKS * this.taskSize) : 0;
+      const tolerated =
+        one.incarnation === dispatcher && countedDemand > 0 ? TOLERATED_TASKS * this.taskSize : 0;
+      const used = Math.max(0, one.used - tolerated);
+      return { demand: countedDemand + readRecent(share, now), used, isPreferred: one.isPreferred };
     });
-    return divideCapacity(free, this.task, claims)[claiming.findIndex((entry) => entry.life === life)] ?? 0;
-  }
-
-  /** Room that is kept for others: what they were just told while they wait, or will probably start soon. */
-  private sumKept(life: string, entries: readonly DispatcherUsage[], now: number): number {
-    let kept = 0;
-    for (const other of entries) {
-      const share = this.find(other.life);
-      if (other.life === life || share.waiting === undefined) continue;
-      const held = Math.floor(share.held / this.task + SIZE_SLACK) * this.task;
-      const isHeld = share.waiting > 0 && now - share.toldAt <= HOLD_MS;
-      kept += isHeld ? held : Math.min(held, this.findExpected(share, now));
+    return (
+      divideCapacity(free, this.taskSize, claims)[
+        claimants.findIndex((one) => one.incarnation === dispatcher)
+      ] ?? 0
+    );
+  }
+
+  /**
+   * Sums the capacity reserved for other dispatchers: shares that were just reported, and expected starts.
+   */
+  private sumReserved(dispatcher: string, dispatchers: readonly DispatcherUsage[], now: number): number {
+    let reserved = 0;
+    for (const other of dispatchers) {
+      const share = this.find(other.incarnation);
+      if (other.incarnation === dispatcher || share.waiting === undefined) continue;
+      const reported = Math.floor(share.reported / this.taskSize + SIZE_TOLERANCE) * this.taskSize;
+      const isReserved = share.waiting > 0 && now - share.reportedAt <= RESERVATION_MS;
+      reserved += isReserved ? reported : Math.min(reported, this.estimateUpcoming(share, now));
     }
-    return kept;
+    return reserved;
   }
 
-  private findExpected(share: DispatcherShare, now: number): number {
+  private estimateUpcoming(share: DispatcherShare, now: number): number {
     const recent = readRecent(share, now);
-    const atOnce = recent >= this.task ? KEPT_TASKS * this.task : 0;
-    return Math.max(atOnce, (recent * AHEAD_MS) / RECENT_MS);
+    const nextTasks = recent >= this.taskSize ? RESERVED_TASKS * this.taskSize : 0;
+    return Math.max(nextTasks, (recent * FORECAST_MS) / RECENT_DECAY_MS);
   }
 
-  private listWaiting(entries: readonly DispatcherUsage[]): DispatcherUsage[] {
-    return entries.filter(({ life }) => (this.shares.get(life)?.waiting ?? 0) > 0);
+  private listWaiting(dispatchers: readonly DispatcherUsage[]): DispatcherUsage[] {
+    return dispatchers.filter(({ incarnation }) => (this.shares.get(incarnation)?.waiting ?? 0) > 0);
   }
 
-  private recordShare(share: DispatcherShare, held: number, now: number): void {
-    share.held = held;
-    share.heldSince = held < this.task * (1 - SIZE_SLACK) ? undefined : (share.heldSince ?? now);
+  private recordShare(share: DispatcherShare, reported: number, now: number): void {
+    share.reported = reported;
+    share.unusedSince =
+      reported < this.taskSize * (1 - SIZE_TOLERANCE) ? undefined : (share.unusedSince ?? now);
   }
 
-  private find(life: string): DispatcherShare {
-    let share = this.shares.get(life);
-    if (!share) this.shares.set(life, (share = createShare()));
+  private find(dispatcher: string): DispatcherShare {
+    let share = this.shares.get(dispatcher);
+    if (!share) this.shares.set(dispatcher, (share = createShare()));
     return share;
   }
 }
@@ -201,12 +234,12 @@
     waiting: undefined,
     recent: 0,
     recentAt: 0,
-    held: 0,
-    toldAt: -Infinity,
-    heldSince: undefined,
+    reported: 0,
+    reportedAt: -Infinity,
+    unusedSince: undefined,
   };
 }
 
 function readRecent({ recent, recentAt }: DispatcherShare, now: number): number {
-  return recent * Math.exp((recentAt - now) / RECENT_MS);
+  return recent * Math.exp((recentAt - now) / RECENT_DECAY_MS);
 }
--- a/src/process/executor/DispatcherDirectory.test.ts
+++ b/src/process/executor/DispatcherDirectory.test.ts
@@ -13,7 +13,7 @@
   for (const address of addresses) directory.recordAlive(address, now);
 }
 
-describe('EntryDirectory', () => {
+describe('DispatcherDirectory', () => {
   let directory: DispatcherDirectory;
 
   beforeEach(() => {
@@ -21,21 +21,21 @@
     directory.recordSeeds(['10.0.0.0:1', '10.0.0.1:1'], 0);
   });
 
-  it('links to the seeds while it knows no other entry', () => {
+  it('links to the seeds while no other dispatcher is known', () => {
     expect([...directory.chooseLinks(0)]).to.have.members(['10.0.0.0:1', '10.0.0.1:1']);
   });
 
-  it('links to as many as it may, evenly over the failure domains', () => {
+  it('links to the maximum number, spread evenly over the failure domains', () => {
     directory.recordMembers(PLACES, 0);
     const wanted = directory.chooseLinks(0);
     const domains = PLACES.filter(({ address }) => wanted.has(address)).map((place) => place.failureDomain);
     expect(domains.sort()).to.deep.equal(['d0', 'd0', 'd1', 'd1', 'd2', 'd2']);
   });
 
-  it('gives every entry about as many agents', () => {
+  it('gives all dispatchers a similar number of executors', () => {
     const counts = new Map<string, number>();
-    for (let agent = 0; agent < 70; agent += 1) {
-      const one = new DispatcherDirectory(`agent-${agent}`, MAX_LINKS);
+    for (let executor = 0; executor < 70; executor += 1) {
+      const one = new DispatcherDirectory(`agent-${executor}`, MAX_LINKS);
       one.recordMembers(PLACES, 0);
       for (const address of one.chooseLinks(0)) counts.set(address, (counts.get(address) ?? 0) + 1);
     }
@@ -43,10 +43,10 @@
     for (const count of counts.values()) expect(count).to.be.within(24, 46);
   });
 
-  it('takes another entry in the place of one that is silent, and gives it back', () => {
+  it('adds a substitute for an unresponsive dispatcher, and drops it when that one answers again', () => {
     directory.recordMembers(PLACES, 0);
     const before = directory.chooseLinks(0);
-    const [silent = '', ...others] = before;
+    const [unresponsive = '', ...others] = before;
     keepAlive(directory, before, 10);
     keepAlive(directory, others, 1_100);
     const during = directory.chooseLinks(1_100);
@@ -54,14 +54,14 @@
     expect(during.size).to.equal(MAX_LINKS + 1);
     keepAlive(
       directory,
-      [...during].filter((address) => address !== silent),
+      [...during].filter((address) => address !== unresponsive),
       1_500,
     );
-    directory.recordAlive(silent, 1_600);
+    directory.recordAlive(unresponsive, 1_600);
     expect([...directory.chooseLinks(1_600)]).to.have.members([...before]);
   });
 
-  it('takes the silence of a pause of its own for nothing', () => {
+  it('does not count a pause of its own process as unresponsiveness of others', () => {
     directory.recordMembers(PLACES, 0);
     const before = directory.chooseLinks(0);
     keepAlive(directory, before, 10);
@@ -69,7 +69,7 @@
     expect([...directory.chooseLinks(5_010)]).to.have.members([...before]);
   });
 
-  it('tells only of entries that answer, and forgets those that nobody reports', () => {
+  it('lists only responsive dispatchers, and removes those that nobody reports', () => {
     directory.recordMembers(PLACES, 0);
     directory.chooseLinks(0);
     directory.recordAlive('10.0.0.5:1', 10);
@@ -78,40 +78,40 @@
     expect([...directory.chooseLinks(21_000)]).to.have.members(['10.0.0.0:1', '10.0.0.1:1']);
   });
 
-  it('keeps links to all entries where there are few', () => {
+  it('links to all dispatchers if there are few', () => {
     directory.recordMembers(PLACES.slice(0, 5), 0);
     expect(directory.chooseLinks(0).size).to.equal(5);
   });
 
-  it('prefers one entry of those that answer, and another while that one is silent', () => {
+  it('prefers one responsive dispatcher, and another one while that is unresponsive', () => {
     directory.recordMembers(PLACES, 0);
     const wanted = directory.chooseLinks(0);
     expect(directory.choosePreferred(wanted, 0)).to.equal(undefined);
     keepAlive(directory, wanted, 10);
-    const home = directory.choosePreferred(wanted, 20) ?? '';
-    expect([...wanted]).to.include(home);
-    const others = [...wanted].filter((address) => address !== home);
+    const preferred = directory.choosePreferred(wanted, 20) ?? '';
+    expect([...wanted]).to.include(preferred);
+    const others = [...wanted].filter((address) => address !== preferred);
     keepAlive(directory, others, 1_100);
     expect(others).to.include(directory.choosePreferred(wanted, 1_200));
-    directory.recordAlive(home, 1_300);
-    expect(directory.choosePreferred(wanted, 1_310)).to.equal(home);
+    directory.recordAlive(preferred, 1_300);
+    expect(directory.choosePreferred(wanted, 1_310)).to.equal(preferred);
   });
 
-  it('has many agents prefer different entries', () => {
-    const homes = new Map<string, number>();
-    for (let agent = 0; agent < 70; agent += 1) {
-      const one = new DispatcherDirectory(`agent-${agent}`, MAX_LINKS);
+  it('spreads the preferences of many executors over the dispatchers', () => {
+    const counts = new Map<string, number>();
+    for (let executor = 0; executor < 70; executor += 1) {
+      const one = new DispatcherDirectory(`agent-${executor}`, MAX_LINKS);
       one.recordMembers(PLACES, 0);
       const wanted = one.chooseLinks(0);
       keepAlive(one, wanted, 10);
-      const home = one.choosePreferred(wanted, 20) ?? '';
-      homes.set(home, (homes.get(home) ?? 0) + 1);
+      const preferred = one.choosePreferred(wanted, 20) ?? '';
+      counts.set(preferred, (counts.get(preferred) ?? 0) + 1);
     }
-    expect(homes.size).to.equal(12);
-    for (const count of homes.values()) expect(count).to.be.within(1, 14);
+    expect(counts.size).to.equal(12);
+    for (const count of counts.values()) expect(count).to.be.within(1, 14);
   });
 
-  it('links to all entries of a small fleet, and to some of a larger one', () => {
+  it('links to all dispatchers of a small fleet, and to some of a larger one', () => {
     const small = new DispatcherDirectory('a1', 2, 4);
     const places = [1, 2, 3, 4, 5].map((number) => ({
       address: `e${number}:1`,
--- a/src/process/executor/DispatcherDirectory.ts
+++ b/src/process/executor/DispatcherDirectory.ts
@@ -1,150 +1,153 @@
 /**
- * The entries that an agent knows, and which of them it keeps links to: by rendezvous, evenly over the failure domains,
- * and others in the place of those that give no sign of life. With all agents linked to all entries, messages would
- * grow with the product of both.
+ * Known dispatchers, and the selection of those that an executor links to: by rendezvous hashing, spread
+ * evenly over the failure domains, with substitutes for unresponsive ones. The number of links per executor
+ * is limited, as a full mesh would need messages in proportion to the product of executors and dispatchers.
  */
 import { chooseEvenly } from '../../_lib/chooseEvenly.js';
 import { digestToWeight } from '../../_lib/digestToWeight.js';
 import type { DispatcherPlace } from '../../connection/peer/peerMessages.js';
 
-/** An entry that should be linked counts as silent after so long without a sign of life, ms. */
-const SILENT_MS = 1_000;
-/** How long a silent entry is not chosen in another's place, ms. */
-const REST_MS = 5_000;
-/** An entry that no peer reports is forgotten after so long without a sign of life, ms. */
+/** Time without an answer after which a dispatcher counts as unresponsive, ms. */
+const UNRESPONSIVE_MS = 1_000;
+/** Time for which an unresponsive dispatcher is not selected as a substitute, ms. */
+const EXCLUSION_MS = 5_000;
+/** Time without an answer or a report by a peer after which a dispatcher is removed, ms. */
 const FORGET_MS = 20_000;
 
 interface KnownDispatcher {
   place: DispatcherPlace;
   readonly weight: number;
-  /** Whether the settings name it. */
+  /** Whether it is in the settings. */
   isSeed: boolean;
   /** When a peer last reported it. */
   reportedAt: number;
-  /** When it last answered us. */
+  /** When it last answered. */
   aliveAt: number;
   /** Since when a link to it is wanted; undefined while none is. */
   wantedSince: number | undefined;
-  /** Not chosen in another's place before this. */
-  restUntil: number;
+  /** Time until which it is not selected as a substitute. */
+  excludedUntil: number;
 }
 
-/** Entries as one agent knows them. */
+/** Dispatchers known to one executor. Points in time are monotonic ms. */
 export class DispatcherDirectory {
-  private readonly entries = new Map<string, KnownDispatcher>();
+  private readonly dispatchers = new Map<string, KnownDispatcher>();
 
   /**
-   * @param agent - process id of the agent
-   * @param maxLinks - links that are kept while the chosen entries live
-   * @param smallFleet - number of entries up to which all of them are linked to
+   * @param executor - process id of the executor
+   * @param maxLinks - number of links while the highest ranked dispatchers are responsive
+   * @param smallFleet - number of dispatchers up to which all of them are linked
    */
   constructor(
-    private readonly agent: string,
+    private readonly executor: string,
     private readonly maxLinks: number,
     private readonly smallFleet = 0,
   ) {}
 
-  /** Takes the addresses that the settings name, in place of earlier ones. */
+  /** Replaces the seed addresses from the settings. */
   recordSeeds(addresses: readonly string[], now: number): void {
-    for (const entry of this.entries.values()) entry.isSeed = false;
+    for (const dispatcher of this.dispatchers.values()) dispatcher.isSeed = false;
     for (const address of addresses) this.findOrAdd({ address, failureDomain: '' }, now).isSeed = true;
   }
 
-  /** Takes entries that a peer has a working link to, or is. */
+  /** Records dispatchers that a peer has reported: itself, or those it has a working link to. */
   recordMembers(places: readonly DispatcherPlace[], now: number): void {
     for (const place of places) {
-      const entry = this.findOrAdd(place, now);
-      entry.place = place;
-      entry.reportedAt = now;
+      const dispatcher = this.findOrAdd(place, now);
+      dispatcher.place = place;
+      dispatcher.reportedAt = now;
     }
   }
 
-  /** An entry has answered us. */
+  /** Records an answer of a dispatcher. */
   recordAlive(address: string, now: number): void {
-    const entry = this.entries.get(address);
-    if (!entry) return;
-    entry.aliveAt = now;
-    entry.restUntil = -Infinity;
+    const dispatcher = this.dispatchers.get(address);
+    if (!dispatcher) return;
+    dispatcher.aliveAt = now;
+    dispatcher.excludedUntil = -Infinity;
   }
 
-  /** This process stood still: the silence of others in that time tells nothing. */
+  /** Handles a pause of this process, during which it could not receive answers. */
   handlePause(now: number): void {
-    for (const entry of this.entries.values()) {
-      if (entry.wantedSince !== undefined) entry.wantedSince = now;
+    for (const dispatcher of this.dispatchers.values()) {
+      if (dispatcher.wantedSince !== undefined) dispatcher.wantedSince = now;
     }
   }
 
-  /** How long an entry has given no sign of life while a link to it was wanted, ms. */
-  findSilence(address: string, now: number): number {
-    const entry = this.entries.get(address);
-    if (entry?.wantedSince === undefined) return 0;
-    return now - Math.max(entry.aliveAt, entry.wantedSince);
+  /** Time since the last answer of a dispatcher while a link to it has been wanted, ms. */
+  findUnresponsiveTime(address: string, now: number): number {
+    const dispatcher = this.dispatchers.get(address);
+    if (dispatcher?.wantedSince === undefined) return 0;
+    return now - Math.max(dispatcher.aliveAt, dispatcher.wantedSince);
   }
 
-  /** Entries that answer us. */
+  /** Lists the responsive dispatchers. */
   listAlive(now: number): DispatcherPlace[] {
-    const alive = [...this.entries.values()].filter(({ aliveAt }) => now - aliveAt <= SILENT_MS);
+    const alive = [...this.dispatchers.values()].filter(({ aliveAt }) => now - aliveAt <= UNRESPONSIVE_MS);
     return alive.map(({ place }) => place);
   }
 
   /**
-   * Chooses the entries to link to: the preferred ones, whether they answer or not, and as many that may answer.
+   * Selects the dispatchers to link to: the highest ranked ones, and the same number without unresponsive
+   * ones.
    *
    * @param now - monotonic time, ms
    * @returns their addresses
    */
   chooseLinks(now: number): Set<string> {
-    for (const [address, entry] of this.entries) this.review(address, entry, now);
-    const candidates = [...this.entries.values()].map((entry) => {
-      const { place, weight } = entry;
-      return { entry, weight, failureDomain: place.failureDomain };
+    for (const [address, dispatcher] of this.dispatchers) this.updateDispatcher(address, dispatcher, now);
+    const candidates = [...this.dispatchers.values()].map((dispatcher) => {
+      const { place, weight } = dispatcher;
+      return { dispatcher, weight, failureDomain: place.failureDomain };
     });
-    const rested = candidates.filter(({ entry }) => now >= entry.restUntil);
-    const links = candidates.length <= this.smallFleet ? candidates.length : this.maxLinks;
-    const chosen = [...chooseEvenly(candidates, links), ...chooseEvenly(rested, links)];
-    const wanted = new Set(chosen.map(({ entry }) => entry.place.address));
-    for (const [address, entry] of this.entries) {
-      entry.wantedSince = wanted.has(address) ? (entry.wantedSince ?? now) : undefined;
+    const eligible = candidates.filter(({ dispatcher }) => now >= dispatcher.excludedUntil);
+    const linkCount = candidates.length <= this.smallFleet ? candidates.length : this.maxLinks;
+    const chosen = [...chooseEvenly(candidates, linkCount), ...chooseEvenly(eligible, linkCount)];
+    const wanted = new Set(chosen.map(({ dispatcher }) => dispatcher.place.address));
+    for (const [address, dispatcher] of this.dispatchers) {
+      dispatcher.wantedSince = wanted.has(address) ? (dispatcher.wantedSince ?? now) : undefined;
     }
     return wanted;
   }
 
   /**
-   * Chooses the entry that this agent prefers to others: by rendezvous, of those that answer.
+   * Selects the preferred dispatcher: the highest ranked responsive one.
    *
-   * @param addresses - of entries that are linked
+   * @param addresses - addresses of linked dispatchers
    * @param now - monotonic time, ms
-   * @returns its address, or undefined while none answers
+   * @returns its address, or undefined if none is responsive
    */
   choosePreferred(addresses: Iterable<string>, now: number): string | undefined {
     let best: KnownDispatcher | undefined;
     for (const address of addresses) {
-      const entry = this.entries.get(address);
-      if (!entry || now - entry.aliveAt > SILENT_MS) continue;
-      if (!best || entry.weight > best.weight) best = entry;
+      const dispatcher = this.dispatchers.get(address);
+      if (!dispatcher || now - dispatcher.aliveAt > UNRESPONSIVE_MS) continue;
+      if (!best || dispatcher.weight > best.weight) best = dispatcher;
     }
     return best?.place.address;
   }
 
-  private review(address: string, entry: KnownDispatcher, now: number): void {
-    if (this.findSilence(address, now) > SILENT_MS) entry.restUntil = now + REST_MS;
-    const isForgotten = !entry.isSeed && now - Math.max(entry.reportedAt, entry.aliveAt) > FORGET_MS;
-    if (isForgotten) this.entries.delete(address);
+  private updateDispatcher(address: string, dispatcher: KnownDispatcher, now: number): void {
+    if (this.findUnresponsiveTime(address, now) > UNRESPONSIVE_MS)
+      dispatcher.excludedUntil = now + EXCLUSION_MS;
+    const isForgotten =
+      !dispatcher.isSeed && now - Math.max(dispatcher.reportedAt, dispatcher.aliveAt) > FORGET_MS;
+    if (isForgotten) this.dispatchers.delete(address);
   }
 
   private findOrAdd(place: DispatcherPlace, now: number): KnownDispatcher {
-    const known = this.entries.get(place.address);
+    const known = this.dispatchers.get(place.address);
     if (known) return known;
-    const entry: KnownDispatcher = {
+    const dispatcher: KnownDispatcher = {
       place,
-      weight: digestToWeight(`${this.agent}/${place.address}`),
+      weight: digestToWeight(`${this.executor}/${place.address}`),
       isSeed: false,
       reportedAt: now,
       aliveAt: -Infinity,
       wantedSince: undefined,
-      restUntil: -Infinity,
+      excludedUntil: -Infinity,
     };
-    this.entries.set(place.address, entry);
-    return entry;
+    this.dispatchers.set(place.address, dispatcher);
+    return dispatcher;
   }
 }
--- a/src/process/executor/DispatcherLinks.test.ts
+++ b/src/process/executor/DispatcherLinks.test.ts
@@ -12,12 +12,12 @@
 import { DispatcherLinks } from './DispatcherLinks.js';
 
 const HOST = '127.0.0.1';
-/** So long that only the first ping of a link is ever due here. */
+/** Long enough that only the first ping of a link is due during a test. */
 const PING_MS = 600_000;
-/** Longer than a change of room is ever held back where it is told at all. */
+/** Longer than any delay of a capacity report. */
 const QUIET_MS = 150;
 
-const ROOM: CapacityReport = {
+const CAPACITY: CapacityReport = {
   description: undefined,
   state: 'ready',
   trust: 'healthy',
@@ -35,48 +35,48 @@
   entryLife: '',
   orphanMs: 1_000,
 };
-const FIRST_PING: Ping = { type: 'ping', at: 0, version: -1, room: ROOM, progress: undefined };
+const FIRST_PING: Ping = { type: 'ping', at: 0, version: -1, room: CAPACITY, progress: undefined };
 
-/** What the links ask of the agent's decisions. */
-function createCore(handlePong: () => void): Executor {
-  const core = {
+/** Creates a stub with the methods that the links call. */
+function createExecutor(handlePong: () => void): Executor {
+  const executor = {
     buildHello: () => HELLO,
     buildPing: () => FIRST_PING,
     handleWelcome: () => undefined,
     setPreferred: () => undefined,
     handlePong,
     countHeld: () => 0,
-    takeCapacityChange: () => ROOM,
+    takeCapacityChange: () => CAPACITY,
     handleDemand: () => undefined,
     needsCapacity: (_: string, isWaiting: boolean) => isWaiting,
     hasShare: () => false,
   };
-  return core as unknown as Executor;
+  return executor as unknown as Executor;
 }
 
-describe('EntryLinks', () => {
+describe('DispatcherLinks', () => {
   let listener: PeerListener;
   let links: DispatcherLinks;
-  let entry: LineChannel;
+  let dispatcher: LineChannel;
   let received: string[];
   let logged: string[];
   let wake: () => void;
-  /** Time that the agent's clock is ahead of the steady one, ms. */
+  /** Time by which the executor's clock is ahead of the steady one, ms. */
   let skippedMs: number;
 
-  function note(what: string): void {
+  function record(what: string): void {
     received.push(what);
     wake();
   }
 
-  /** Waits until the entry has received a message of a type, or the agent an echo. */
+  /** Waits until the dispatcher has received a message of a type, or the executor a pong (`echo`). */
   async function waitFor(type: string): Promise<void> {
     while (!received.includes(type)) await new Promise<void>((resolve) => (wake = resolve));
   }
 
   function receive(channel: LineChannel, { type }: PeerMessage): void {
-    entry = channel;
-    note(type);
+    dispatcher = channel;
+    record(type);
     if (type !== 'agent-hello') return;
     const place = { address: `${HOST}:1`, failureDomain: 'x' };
     channel.send({ type: 'entry-welcome', entry: 'e1', life: 'e1@1', place });
@@ -90,7 +90,7 @@
     listener = new PeerListener({ receive, close: () => undefined });
     const linkPort = await listener.start(HOST, 0);
     const options = {
-      agent: 'a1',
+      executor: 'a1',
       failureDomain: 'x',
       maxLinks: 6,
       smallFleet: 6,
@@ -99,14 +99,14 @@
       linkMbps: 1_000,
     };
     const log = (event: string): number => logged.push(event);
-    const core = createCore(() => note('echo'));
+    const executor = createExecutor(() => record('echo'));
     const steady = new SteadyClock();
     const clock: Clock = {
       now: () => steady.now() + skippedMs,
       readSteady: () => steady.now(),
       sleep: (ms) => steady.sleep(ms),
     };
-    links = new DispatcherLinks(options, core, clock, log, () => 0.5);
+    links = new DispatcherLinks(options, executor, clock, log, () => 0.5);
     links.recordSeeds([`${HOST}:1`]);
     await waitFor('ping');
   });
@@ -116,30 +116,30 @@
     await listener.stop();
   });
 
-  it('tells room at once to an entry at which tasks wait', async () => {
-    entry.send({ type: 'demand' });
+  it('reports capacity at once to a dispatcher at which tasks wait', async () => {
+    dispatcher.send({ type: 'demand' });
     await waitFor('room');
     received.length = 0;
     links.scheduleCapacityReports();
     await waitFor('room');
   });
 
-  it('leaves room to the next ping where no tasks wait', async () => {
+  it('defers the capacity report to the next ping if no tasks wait', async () => {
     links.scheduleCapacityReports();
     await sleep(QUIET_MS);
     expect(received).to.not.include('room');
   });
 
-  it('tells a changed capacity at once, also where no tasks wait', async () => {
+  it('reports a changed total capacity at once, even if no tasks wait', async () => {
     received.length = 0;
     links.sendCapacity();
     await waitFor('room');
   });
 
-  it('learns from an echo that no tasks wait any more', async () => {
-    entry.send({ type: 'demand' });
+  it('stops immediate reports when a pong shows that no tasks wait any more', async () => {
+    dispatcher.send({ type: 'demand' });
     await waitFor('room');
-    entry.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
+    dispatcher.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
     await waitFor('echo');
     received.length = 0;
     links.scheduleCapacityReports();
@@ -147,34 +147,34 @@
     expect(received).to.not.include('room');
   });
 
-  it('dials anew what has been silent on an open connection for longer than an echo ever takes', async () => {
+  it('dials an unresponsive connection again when its pong is overdue', async () => {
     received.length = 0;
     skippedMs = 2_000;
-    links.keep();
+    links.updateLinks();
     await waitFor('agent-hello');
     expect(logged).to.include('entry-unlinked');
   });
 
-  it('dials anew a connection on which an echo is overdue, before what its entry has running here is stopped', async () => {
-    entry.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
+  it('dials again when a pong is overdue, before the tasks of the dispatcher are stopped', async () => {
+    dispatcher.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
     await waitFor('echo');
     received.length = 0;
-    // The next ping gets no echo. Work is stopped three pings after the one that was echoed last.
+    // The next ping gets no pong. Tasks are stopped three ping intervals after the last acknowledged ping.
     skippedMs += PING_MS;
-    links.ping();
+    links.sendDuePings();
     await waitFor('ping');
     skippedMs += PING_MS * 1.5;
-    links.ping();
+    links.sendDuePings();
     await sleep(QUIET_MS);
     expect(received).to.include('agent-hello');
   });
 
-  it('keeps a connection whose entry has answered of late', async () => {
+  it('keeps a connection whose dispatcher has answered recently', async () => {
     skippedMs = 2_000;
-    entry.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
+    dispatcher.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
     await waitFor('echo');
     received.length = 0;
-    links.keep();
+    links.updateLinks();
     await sleep(QUIET_MS);
     expect(received).to.not.include('agent-hello');
   });
--- a/src/process/executor/DispatcherLinks.ts
+++ b/src/process/executor/DispatcherLinks.ts
@@ -1,6 +1,7 @@
 /**
- * An agent's links to entries: dials those that the directory chooses, answers what comes on a link, paces what is told
- * on it, and gives up links that are not wanted any more or say nothing.
+ * Links of an executor to dispatchers: dials the dispatchers selected by the directory, handles their
+ * messages, limits the rate of capacity reports, and closes links that are no longer wanted or have become
+ * unresponsive.
  */
 import type { Clock } from '../../_lib/Clock.js';
 import { ClockTimeline } from '../../_lib/Timeline.js';
@@ -21,41 +22,41 @@
 import { DispatcherDirectory } from './DispatcherDirectory.js';
 import { CapacityReportLimiter } from './CapacityReportLimiter.js';
 
-/** How long a link that is not wanted any more is kept at least, so that its entry has heard of it, ms. */
-const RETIRE_MS = 600;
+/** Time for which an unwanted link stays open at least, so that its dispatcher receives the notice, ms. */
+const MIN_RETIRING_MS = 600;
 /**
- * Age of the newest ping, in ping intervals, from which on one is due; less than 1, as looks at it are some ms apart.
+ * Age of the newest ping, in ping intervals, at which the next one is due; below 1 to allow for the timer
+ * interval.
  */
-const PING_DUE = 0.9;
+const PING_DUE_INTERVALS = 0.9;
 /**
- * Age of the newest ping, in ping intervals, from which on a link is pinged along with one that is due: the echoes of all
- * links then come close together and wake the process once, which costs more than the messages.
+ * Age of the newest ping, in ping intervals, at which a link is pinged together with one that is due: pongs
+ * that arrive together wake up the process only once.
  */
-const TOGETHER = 0.5;
+const BATCH_PING_INTERVALS = 0.5;
 /**
- * A link whose entry has not said which life it is for so long is dialed anew, ms: the connection may have gone silent
- * as it opened. Longer than the second after which another entry is linked to in its place; a frozen peer costs one
- * connection in this time. Later silence is told by echoes.
+ * Time to wait for the welcome message of a dispatcher before its link is dialed again, ms. Longer than the
+ * time after which an unresponsive dispatcher is replaced, so that a frozen peer causes few connections.
  */
-const SILENT_OPENING_MS = 1_500;
+const WELCOME_TIMEOUT_MS = 1_500;
 /**
- * How long the first echo of an entry is waited for, ms. What an entry has running here is stopped once its newest echo
- * is three pings old, and what it sends on a silent connection waits there; a new connection tells both sides what is
- * missing, so it is dialed before that: a ping comes every 170 ms where callers submit again after 1.3 s.
+ * Time to wait for the first pong, ms. An unresponsive connection has to be replaced before the dispatcher's
+ * orphan timeout of three ping intervals stops its work; a ping interval is 170 ms where callers submit again
+ * after 1.3 s.
  */
-const FIRST_ECHO_MS = 170;
+const FIRST_PONG_TIMEOUT_MS = 170;
 
-/** Parameters of the links. */
+/** Options of the links. */
 export interface DispatcherLinksOptions {
-  /** Process id of the agent. */
-  readonly agent: string;
+  /** Process id of the executor. */
+  readonly executor: string;
   readonly failureDomain: string;
   readonly maxLinks: number;
-  /** Number of dispatchers up to which all are linked to. */
+  /** Number of dispatchers up to which all of them are linked. */
   readonly smallFleet: number;
-  /** Port of the links between daemons, the same on every VM. */
+  /** Port of the links, the same on every VM. */
   readonly linkPort: number;
-  /** Time between two pings of a link, ms. */
+  /** Ping interval of a link, ms. */
   readonly pingMs: number;
   /** Bandwidth of the VM's link, Mbit/s. */
   readonly linkMbps: number;
@@ -64,40 +65,40 @@
 interface DispatcherLink {
   readonly address: string;
   readonly channel: LineChannel;
-  /** When our hello was sent. */
+  /** When the hello message was sent. */
   readonly openedAt: number;
-  /** Life of the entry; empty until it has said so. */
-  life: string;
-  readonly pacer: CapacityReportLimiter;
-  /** Time that the newest echo took, ms; undefined before the first. */
-  echoMs: number | undefined;
-  roomTimer: NodeJS.Timeout | undefined;
-  /** Whether the room is told at the end of this turn. */
-  isRoomDue: boolean;
-  /** Whether tasks wait at the entry. */
+  /** Incarnation of the dispatcher; empty until its welcome message arrives. */
+  incarnation: string;
+  readonly limiter: CapacityReportLimiter;
+  /** Round-trip time of the newest pong, ms; undefined before the first. */
+  roundTripMs: number | undefined;
+  capacityTimer: NodeJS.Timeout | undefined;
+  /** Whether the capacity is to be sent at the end of this turn of the event loop. */
+  isCapacityDue: boolean;
+  /** Whether tasks wait at the dispatcher. */
   isWaiting: boolean;
   pingedAt: number;
-  /** Since when the link is not wanted; undefined while it is. */
+  /** Since when the link is unwanted; undefined while it is wanted. */
   retiringSince: number | undefined;
 }
 
-/** Links of one agent. */
+/** Links of one executor. */
 export class DispatcherLinks {
   private readonly directory: DispatcherDirectory;
   private readonly dialer: PeerDialer;
   private readonly exchange: OperatorExchange;
   private readonly links = new Map<string, DispatcherLink>();
-  /** Life of the entry last met at each address. */
+  /** Last known incarnation of the dispatcher at each address. */
   private readonly incarnations = new Map<string, string>();
 
   constructor(
     private readonly options: DispatcherLinksOptions,
-    private readonly core: Executor,
+    private readonly executor: Executor,
     private readonly clock: Clock,
     private readonly log: (event: string, fields: LogFields) => void,
     nextRandom: () => number,
   ) {
-    this.directory = new DispatcherDirectory(options.agent, options.maxLinks, options.smallFleet);
+    this.directory = new DispatcherDirectory(options.executor, options.maxLinks, options.smallFleet);
     const { linkMbps } = options;
     this.exchange = new OperatorExchange(
       {
@@ -110,169 +111,177 @@
       { usesRoutes: false, linkMbps, timeline: new ClockTimeline(clock), nextRandom },
     );
     const events = {
-      open: (address: string, channel: LineChannel) => this.open(address, channel),
+      open: (address: string, channel: LineChannel) => this.openLink(address, channel),
       receive: (address: string, message: PeerMessage) => this.receive(address, message),
       close: (address: string, reason: string) => this.closeLink(address, reason),
     };
-    this.dialer = new PeerDialer(events, clock, nextRandom, FIRST_ECHO_MS);
+    this.dialer = new PeerDialer(events, clock, nextRandom, FIRST_PONG_TIMEOUT_MS);
   }
 
-  /** Services of the newest configuration; undefined while none is known. */
+  /** Services of the newest configuration; undefined while there is none. */
   get services(): ReadonlySet<string> | undefined {
     return this.exchange.services;
   }
 
-  /** Version of the configuration that is kept here for dispatchers; -1 for none. */
+  /** Version of the configuration that is stored here for dispatchers; -1 for none. */
   get keptVersion(): number {
     return this.exchange.versions.version;
   }
 
-  /** Takes the VMs that the settings name, `host:port`; only the host is used. */
+  /** Sets the seed VMs of the settings, `host:port`; only the host is used. */
   recordSeeds(seeds: readonly string[]): void {
     const { linkPort } = this.options;
     const addresses = seeds.map((seed) => `${splitAddress(seed).host}:${linkPort}`);
     this.directory.recordSeeds(addresses, this.clock.now());
-    this.keep();
+    this.updateLinks();
   }
 
-  /** This process stood still. */
+  /** Handles a pause of this process. */
   handlePause(): void {
     this.directory.handlePause(this.clock.now());
     this.dialer.handlePause();
   }
 
-  /** Dials what is wanted, and gives up what is not wanted any more or says nothing. */
-  keep(): void {
+  /** Dials wanted dispatchers, and closes links that are unwanted or unresponsive. */
+  updateLinks(): void {
     const now = this.clock.now();
     this.dialer.review();
     const wanted = this.directory.chooseLinks(now);
     for (const address of wanted) this.dialer.keep(address);
-    for (const address of this.dialer.addresses) this.review(address, wanted.has(address), now);
+    for (const address of this.dialer.addresses) this.updateLink(address, wanted.has(address), now);
     this.updatePreferred(now);
   }
 
-  /** Pings the entries whose newest ping is old, and dials those anew whose echo is overdue. */
-  ping(): void {
+  /** Sends the pings that are due, and dials links again whose pong is overdue. */
+  sendDuePings(): void {
     const now = this.clock.now();
     this.dialer.review();
     const links = [...this.links.values()];
     if (!links.some((link) => this.isPingDue(link, now))) return;
-    for (const link of links) if (this.isOlderPing(link, now, TOGETHER)) this.sendPing(link, now);
+    for (const link of links) if (this.isOlderPing(link, now, BATCH_PING_INTERVALS)) this.sendPing(link, now);
   }
 
-  /** Sends a result to the entry's link, if it has one, and the room with all results of this turn. */
-  sendResult(life: string, result: AttemptResult): void {
+  /**
+   * Sends a result on the dispatcher's link, if it has one; the capacity follows all results of this turn.
+   */
+  sendResult(dispatcher: string, result: AttemptResult): void {
     for (const link of this.links.values()) {
-      if (link.life !== life) continue;
+      if (link.incarnation !== dispatcher) continue;
       link.channel.send(result);
-      if (link.isRoomDue) return;
-      link.isRoomDue = true;
+      if (link.isCapacityDue) return;
+      link.isCapacityDue = true;
       process.nextTick(() => this.sendCapacityChange(link));
     }
   }
 
-  /** Sends crashes to an entry's link, if it has one. */
-  sendCrashes(life: string, notice: CrashNotice): void {
-    for (const link of this.links.values()) if (link.life === life) link.channel.send(notice);
+  /** Sends crash notices on a dispatcher's link, if it has one. */
+  sendCrashes(dispatcher: string, notice: CrashNotice): void {
+    for (const link of this.links.values()) if (link.incarnation === dispatcher) link.channel.send(notice);
   }
 
   /**
-   * Room has changed: tells it in its pace on the links of entries at which tasks wait, or that were told too much. The
-   * others hear of it with the next ping; they have room enough for what comes to them until then, or begin to wait and
-   * say so.
+   * Schedules reports of changed capacity, at a limited rate, to dispatchers at which tasks wait or whose
+   * reported share is too large. The others get it with the next ping, or ask for it with a demand notice.
    */
   scheduleCapacityReports(): void {
     const now = this.clock.now();
     const due = [...this.links.values()].filter(
-      ({ life, isWaiting }) => life !== '' && this.core.needsCapacity(life, isWaiting),
+      ({ incarnation, isWaiting }) =>
+        incarnation !== '' && this.executor.needsCapacity(incarnation, isWaiting),
     );
     for (const link of due) {
-      const { life, pacer } = link;
-      const isPart = this.core.hasShare(life);
-      const waitMs = isPart ? pacer.findShareWait(now, due.length) : pacer.findWait(now, due.length);
-      link.roomTimer ??= setTimeout(() => this.sendCapacityChange(link), waitMs);
+      const { incarnation, limiter } = link;
+      const hasShare = this.executor.hasShare(incarnation);
+      const waitMs = hasShare ? limiter.findShareWait(now, due.length) : limiter.findWait(now, due.length);
+      link.capacityTimer ??= setTimeout(() => this.sendCapacityChange(link), waitMs);
     }
   }
 
-  /** Capacity has changed: tells it at once on all links, as entries count on what they were told. */
+  /** Sends a changed total capacity at once on all links, as dispatchers rely on the reported one. */
   sendCapacity(): void {
-    for (const link of this.links.values()) if (link.life !== '') this.sendCapacityChange(link);
+    for (const link of this.links.values()) if (link.incarnation !== '') this.sendCapacityChange(link);
   }
 
-  /** Tells every entry which ones this agent has a working link to. */
+  /** Sends the list of dispatchers that this executor has a working link to, on all links. */
   sendMembers(): void {
     const entries = this.directory.listAlive(this.clock.now());
     for (const { channel } of this.links.values()) channel.send({ type: 'members', entries });
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   stop(): void {
     this.dialer.stop();
   }
 
-  /** Keeps to the entry that is preferred while it answers and its link is wanted. */
+  /** Selects the preferred dispatcher among the responsive ones on wanted links. */
   private updatePreferred(now: number): void {
     const links = [...this.links.values()].filter(
-      ({ life, retiringSince }) => life !== '' && retiringSince === undefined,
+      ({ incarnation: incarnation, retiringSince }) => incarnation !== '' && retiringSince === undefined,
     );
-    const home = this.directory.choosePreferred(
+    const preferred = this.directory.choosePreferred(
       links.map(({ address }) => address),
       now,
     );
-    this.core.setPreferred(home === undefined ? '' : (this.links.get(home)?.life ?? ''));
+    this.executor.setPreferred(preferred === undefined ? '' : (this.links.get(preferred)?.incarnation ?? ''));
   }
 
-  private review(address: string, isWanted: boolean, now: number): void {
+  private updateLink(address: string, isWanted: boolean, now: number): void {
     const link = this.links.get(address);
     if (!link) {
       if (!isWanted) this.dialer.forget(address);
       return;
     }
-    if (isWanted) return this.reviewWanted(link, now);
+    if (isWanted) return this.updateWantedLink(link, now);
     if (link.retiringSince === undefined) return this.setRetiring(link, now);
-    if (now - link.retiringSince < RETIRE_MS || this.core.countHeld(link.life) > 0) return;
+    if (now - link.retiringSince < MIN_RETIRING_MS || this.executor.countHeld(link.incarnation) > 0) return;
     this.dialer.forget(address);
   }
 
-  private reviewWanted(link: DispatcherLink, now: number): void {
+  private updateWantedLink(link: DispatcherLink, now: number): void {
     if (link.retiringSince !== undefined) this.setRetiring(link, undefined);
-    if (link.life === '' && now - link.openedAt > SILENT_OPENING_MS)
+    if (link.incarnation === '' && now - link.openedAt > WELCOME_TIMEOUT_MS)
       this.dialer.renew(link.address, 'silent');
   }
 
   private setRetiring(link: DispatcherLink, since: number | undefined): void {
     link.retiringSince = since;
     this.log('entry-retiring', { address: link.address, retiring: since !== undefined });
-    if (link.life === '') return;
-    this.core.setRetiring(link.life, since !== undefined);
+    if (link.incarnation === '') return;
+    this.executor.setRetiring(link.incarnation, since !== undefined);
     this.sendCapacityChange(link);
   }
 
-  private open(address: string, channel: LineChannel): void {
+  private openLink(address: string, channel: LineChannel): void {
     this.links.set(address, {
       address,
       channel,
       openedAt: this.clock.now(),
-      life: '',
-      pacer: new CapacityReportLimiter(),
-      echoMs: undefined,
-      roomTimer: undefined,
-      isRoomDue: false,
+      incarnation: '',
+      limiter: new CapacityReportLimiter(),
+      roundTripMs: undefined,
+      capacityTimer: undefined,
+      isCapacityDue: false,
       isWaiting: false,
       pingedAt: -Infinity,
       retiringSince: undefined,
     });
-    channel.send(this.core.buildHello(this.incarnations.get(address) ?? ''));
+    channel.send(this.executor.buildHello(this.incarnations.get(address) ?? ''));
   }
 
   private closeLink(address: string, reason: string): void {
     const link = this.links.get(address);
-    clearTimeout(link?.roomTimer);
+    clearTimeout(link?.capacityTimer);
     this.links.delete(address);
     if (link) this.exchange.handleClosed(link.channel);
-    const life = link?.life ?? '';
-    const silentMs = Math.round(this.directory.findSilence(address, this.clock.now()));
-    this.log('entry-unlinked', { address, life, reason, silentMs, held: this.core.countHeld(life) });
+    const incarnation = link?.incarnation ?? '';
+    const unresponsiveMs = Math.round(this.directory.findUnresponsiveTime(address, this.clock.now()));
+    this.log('entry-unlinked', {
+      address,
+      life: incarnation,
+      reason,
+      silentMs: unresponsiveMs,
+      held: this.executor.countHeld(incarnation),
+    });
   }
 
   private receive(address: string, message: PeerMessage): void {
@@ -282,31 +291,35 @@
     if (message.type === 'entry-welcome') return this.handleWelcome(link, message, now);
     if (message.type === 'members') return this.directory.recordMembers(message.entries, now);
     if (this.exchange.receive(message, link.channel)) return;
-    if (link.life === '') return;
-    if (message.type === 'start') return this.core.handleStart(link.life, message);
-    if (message.type === 'stop') return this.core.handleStop(link.life, message);
+    if (link.incarnation === '') return;
+    if (message.type === 'start') return this.executor.handleStart(link.incarnation, message);
+    if (message.type === 'stop') return this.executor.handleStop(link.incarnation, message);
     if (message.type === 'demand') return this.handleDemand(link, message);
     if (message.type !== 'pong') return;
     link.isWaiting = message.isWaiting;
     this.directory.recordAlive(address, now);
-    link.echoMs = Math.round(now - message.at);
-    link.pacer.recordRoundTrip(link.echoMs);
+    link.roundTripMs = Math.round(now - message.at);
+    link.limiter.recordRoundTrip(link.roundTripMs);
     this.dialer.recordPong(address, message.at);
-    this.core.handlePong(link.life, message);
+    this.executor.handlePong(link.incarnation, message);
     this.exchange.compareVersions(message, link.channel, now);
   }
 
-  private handleWelcome(link: DispatcherLink, { life, place }: DispatcherWelcome, now: number): void {
+  private handleWelcome(
+    link: DispatcherLink,
+    { life: incarnation, place }: DispatcherWelcome,
+    now: number,
+  ): void {
     const { address } = link;
     const before = this.incarnations.get(address);
-    if (before !== undefined && before !== life) this.core.handleDispatcherReplaced(before);
-    this.incarnations.set(address, life);
-    link.life = life;
-    this.log('entry-linked', { address, life, before });
+    if (before !== undefined && before !== incarnation) this.executor.handleDispatcherReplaced(before);
+    this.incarnations.set(address, incarnation);
+    link.incarnation = incarnation;
+    this.log('entry-linked', { address, life: incarnation, before });
     this.directory.recordMembers([{ ...place, address }], now);
     this.directory.recordAlive(address, now);
-    this.core.handleWelcome(life, link.openedAt);
-    if (link.retiringSince !== undefined) this.core.setRetiring(life, true);
+    this.executor.handleWelcome(incarnation, link.openedAt);
+    if (link.retiringSince !== undefined) this.executor.setRetiring(incarnation, true);
     this.sendPing(link, now);
     this.sendMembers();
   }
@@ -314,43 +327,51 @@
   private handleEmptied({ domains, revision }: EmptiedDomains): void {
     const isEmptied = domains.includes(this.options.failureDomain);
     this.log('emptied-domains', { emptied: domains, revision, isEmptied });
-    this.core.setEmptied(isEmptied);
+    this.executor.setEmptied(isEmptied);
   }
 
   private handleDemand(link: DispatcherLink, notice: DemandNotice): void {
     link.isWaiting = true;
-    this.core.handleDemand(link.life, notice);
+    this.executor.handleDemand(link.incarnation, notice);
     this.sendCapacityChange(link);
   }
 
   private sendCapacityChange(link: DispatcherLink): void {
-    clearTimeout(link.roomTimer);
-    link.roomTimer = undefined;
-    link.isRoomDue = false;
+    clearTimeout(link.capacityTimer);
+    link.capacityTimer = undefined;
+    link.isCapacityDue = false;
     const now = this.clock.now();
     if (this.isPingDue(link, now)) return this.sendPing(link, now);
-    const room = this.core.takeCapacityChange(link.life);
-    if (!room) return;
-    link.pacer.recordReport(now);
-    link.channel.send({ type: 'room', at: Math.floor(now), room });
+    const capacity = this.executor.takeCapacityChange(link.incarnation);
+    if (!capacity) return;
+    link.limiter.recordReport(now);
+    link.channel.send({ type: 'room', at: Math.floor(now), room: capacity });
   }
 
   private isPingDue(link: DispatcherLink, now: number): boolean {
-    return this.isOlderPing(link, now, PING_DUE);
+    return this.isOlderPing(link, now, PING_DUE_INTERVALS);
   }
 
-  /** Whether the newest ping of a link is older than so many ping intervals. */
-  private isOlderPing({ life, pingedAt }: DispatcherLink, now: number, intervals: number): boolean {
-    return life !== '' && now - pingedAt >= this.options.pingMs * intervals;
+  /** Checks whether the newest ping of a link is at least the given number of ping intervals old. */
+  private isOlderPing(
+    { incarnation: incarnation, pingedAt }: DispatcherLink,
+    now: number,
+    intervals: number,
+  ): boolean {
+    return incarnation !== '' && now - pingedAt >= this.options.pingMs * intervals;
   }
 
-  /** A ping tells the room as well, so that it stands for a change of room that is due. */
+  /** Sends a ping, which includes any change of capacity. */
   private sendPing(link: DispatcherLink, now: number): void {
     link.pingedAt = now;
     this.dialer.recordPing(link.address);
-    link.pacer.recordReport(now);
+    link.limiter.recordReport(now);
     const { version, emptiedRevision } = this.exchange.versions;
-    const { echoMs } = link;
-    link.channel.send({ ...this.core.buildPing(link.life, version), emptiedRevision, echoMs });
+    const { roundTripMs } = link;
+    link.channel.send({
+      ...this.executor.buildPing(link.incarnation, version),
+      emptiedRevision,
+      echoMs: roundTripMs,
+    });
   }
 }
--- a/src/process/executor/Executor.test.ts
+++ b/src/process/executor/Executor.test.ts
@@ -10,151 +10,151 @@
 import { Executor } from './Executor.js';
 
 const VERSION = 7;
-const ENTRY = 'entry@1';
+const DISPATCHER = 'entry@1';
 const ORDER = buildStartOrder(0, { estimateMs: 400 });
 
-describe('AgentCore', () => {
+describe('Executor', () => {
   let clock: FakeClock;
   let upstream: FakeUpstream;
-  let core: Executor;
-  /** Lives of the upstream that answer for themselves; the others are `upstream`. */
-  let otherLives: Map<string, FakeUpstream>;
+  let executor: Executor;
+  /** Upstream incarnations with their own fake, by id; all others use `upstream`. */
+  let otherIncarnations: Map<string, FakeUpstream>;
   let results: string[];
-  /** Capacities that are to be told at once. */
-  let told: number[];
+  /** Total capacities passed to `handleCapacityChange`, thousandths of a core. */
+  let changedCapacities: number[];
 
   function report(id: string, sequence: number, capacity = UPSTREAM_CAPACITY): void {
     const { clockMs } = upstream;
-    core.handleReport(buildUpstreamReport({ id, sequence, clockMs, labels: ['rack'], capacity }));
+    executor.handleReport(buildUpstreamReport({ id, sequence, clockMs, labels: ['rack'], capacity }));
   }
 
   beforeEach(async () => {
     clock = new FakeClock();
     upstream = new FakeUpstream(clock);
-    otherLives = new Map();
+    otherIncarnations = new Map();
     results = [];
-    told = [];
-    core = new Executor(
-      { agent: 'agent', life: '1', failureDomain: 'x', startedAt: 1_000_000 },
+    changedCapacities = [];
+    executor = new Executor(
+      { id: 'agent', incarnation: '1', failureDomain: 'x', startedAt: 1_000_000 },
       { leaseMs: 500, maxLeaseMs: 1_000, stopMs: 50, orphanAfterMs: 10_000 },
       clock,
       {
-        openApi: ({ id }) => otherLives.get(id) ?? upstream,
+        openApi: ({ id }) => otherIncarnations.get(id) ?? upstream,
         sendResult: (_, { end, reason }) => void results.push(`${end} ${reason}`),
-        sendCrashes: (life, { tasks }) => void results.push(`${life} crashes ${tasks.length}`),
+        sendCrashes: (dispatcher, { tasks }) => void results.push(`${dispatcher} crashes ${tasks.length}`),
         handleJoined: () => undefined,
         handleChange: () => undefined,
-        handleCapacityChange: ({ capacity }) => void told.push(capacity.cpuMilli),
+        handleCapacityChange: ({ capacity }) => void changedCapacities.push(capacity.cpuMilli),
         log: () => undefined,
       },
     );
     report('u1', 1);
     await clock.advance(20);
-    core.handleWelcome(ENTRY, clock.now());
+    executor.handleWelcome(DISPATCHER, clock.now());
   });
 
-  afterEach(() => core.close());
+  afterEach(() => executor.close());
 
-  it('tells a link its room once, and what has changed of it', async () => {
-    const first = core.buildPing(ENTRY, VERSION).room;
+  it('reports the capacity on a link once, and then only changes', async () => {
+    const first = executor.buildPing(DISPATCHER, VERSION).room;
     expect(first?.description?.capacity).to.deep.equal(UPSTREAM_CAPACITY);
-    expect(core.buildPing(ENTRY, VERSION)).to.deep.equal({
+    expect(executor.buildPing(DISPATCHER, VERSION)).to.deep.equal({
       type: 'ping',
       at: clock.now(),
       version: VERSION,
       room: undefined,
       progress: undefined,
     });
-    core.handleStart(ENTRY, ORDER);
-    const change = core.takeCapacityChange(ENTRY);
+    executor.handleStart(DISPATCHER, ORDER);
+    const change = executor.takeCapacityChange(DISPATCHER);
     expect(change?.description).to.equal(undefined);
     expect(change?.free.cpuMilli).to.equal(3_000);
-    expect(core.takeCapacityChange(ENTRY)).to.equal(undefined);
+    expect(executor.takeCapacityChange(DISPATCHER)).to.equal(undefined);
   });
 
-  it('tells the entry that it prefers, and only that one, with its room', () => {
+  it('reports with the capacity that a dispatcher is preferred, only to that dispatcher', () => {
     const other = 'entry-2@1';
-    core.buildPing(ENTRY, VERSION);
-    core.buildPing(other, VERSION);
-    core.setPreferred(ENTRY);
-    expect(core.buildPing(ENTRY, VERSION).room?.isHome).to.equal(true);
-    expect(core.buildPing(other, VERSION).room).to.equal(undefined);
-    core.setPreferred(other);
-    expect(core.buildPing(ENTRY, VERSION).room?.isHome).to.equal(undefined);
-    expect(core.buildPing(other, VERSION).room?.isHome).to.equal(true);
+    executor.buildPing(DISPATCHER, VERSION);
+    executor.buildPing(other, VERSION);
+    executor.setPreferred(DISPATCHER);
+    expect(executor.buildPing(DISPATCHER, VERSION).room?.isHome).to.equal(true);
+    expect(executor.buildPing(other, VERSION).room).to.equal(undefined);
+    executor.setPreferred(other);
+    expect(executor.buildPing(DISPATCHER, VERSION).room?.isHome).to.equal(undefined);
+    expect(executor.buildPing(other, VERSION).room?.isHome).to.equal(true);
   });
 
-  it('tells a new link everything', () => {
-    core.buildPing(ENTRY, VERSION);
-    core.handleWelcome(ENTRY, clock.now());
-    expect(core.buildPing(ENTRY, VERSION).room?.description?.labels).to.deep.equal(['rack']);
+  it('reports everything on a new link', () => {
+    executor.buildPing(DISPATCHER, VERSION);
+    executor.handleWelcome(DISPATCHER, clock.now());
+    expect(executor.buildPing(DISPATCHER, VERSION).room?.description?.labels).to.deep.equal(['rack']);
   });
 
-  it('tells each entry its room on its own', () => {
-    core.buildPing(ENTRY, VERSION);
-    core.handleWelcome('other@1', clock.now());
-    expect(core.buildPing('other@1', VERSION).room?.description?.upstream).to.equal('u1');
+  it('tracks reported capacity separately for each dispatcher', () => {
+    executor.buildPing(DISPATCHER, VERSION);
+    executor.handleWelcome('other@1', clock.now());
+    expect(executor.buildPing('other@1', VERSION).room?.description?.upstream).to.equal('u1');
   });
 
-  it('tells the room again after a result, even if it is as before', async () => {
+  it('reports the capacity again after a result, even if it is unchanged', async () => {
     upstream.taskMs = 40;
-    core.handleStart(ENTRY, ORDER);
-    expect(core.takeCapacityChange(ENTRY)?.free.cpuMilli).to.equal(3_000);
-    core.handleWelcome('other@1', clock.now());
+    executor.handleStart(DISPATCHER, ORDER);
+    expect(executor.takeCapacityChange(DISPATCHER)?.free.cpuMilli).to.equal(3_000);
+    executor.handleWelcome('other@1', clock.now());
     await clock.advance(200);
-    core.handleStart('other@1', { ...ORDER, name: { ...ORDER.name, job: 'another' } });
-    const again = core.takeCapacityChange(ENTRY);
+    executor.handleStart('other@1', { ...ORDER, name: { ...ORDER.name, job: 'another' } });
+    const again = executor.takeCapacityChange(DISPATCHER);
     expect([again?.free.cpuMilli, again?.startsSeen]).to.deep.equal([3_000, 1]);
   });
 
-  // Heartbeats that a cut had held up came after their sender had crashed and a new life had reported itself at the same
-  // address. The address alone told the agent that the newer life was gone: its tasks counted as lost while they ran.
-  it('keeps an upstream when a heartbeat of an earlier life at its address comes late', async () => {
+  // Guards against delayed heartbeats of a crashed incarnation ending the session of a newer one at the same
+  // address.
+  it('keeps an upstream when a delayed heartbeat of an earlier incarnation at its address arrives', async () => {
     const newer = new FakeUpstream(clock);
     newer.taskMs = 400;
-    otherLives.set('u2', newer);
+    otherIncarnations.set('u2', newer);
     upstream.isReplaced = true;
     report('u2', 1);
     await clock.advance(200);
-    core.handleStart(ENTRY, ORDER);
+    executor.handleStart(DISPATCHER, ORDER);
     await clock.advance(20);
     report('u1', 9);
     await clock.advance(100);
     expect([...newer.running.keys()]).to.deep.equal(['job/0/0']);
-    expect(core.countHeld(ENTRY)).to.equal(1);
+    expect(executor.countHeld(DISPATCHER)).to.equal(1);
     await clock.advance(500);
     expect(results).to.deep.equal(['done done']);
   });
 
-  it('takes a new life at an address as soon as the earlier one is found to be gone', async () => {
-    otherLives.set('u2', new FakeUpstream(clock));
+  it('uses a new incarnation at an address as soon as the earlier one is found to be gone', async () => {
+    otherIncarnations.set('u2', new FakeUpstream(clock));
     upstream.taskMs = 2_000;
-    core.handleStart(ENTRY, ORDER);
+    executor.handleStart(DISPATCHER, ORDER);
     await clock.advance(20);
     upstream.isReplaced = true;
     report('u2', 1);
     await clock.advance(300);
     expect(results.map((result) => result.split(' ')[0])).to.deep.equal(['lost']);
-    expect(core.takeCapacityChange(ENTRY)?.description?.upstream).to.equal('u2');
+    expect(executor.takeCapacityChange(DISPATCHER)?.description?.upstream).to.equal('u2');
   });
 
-  it('takes no new work from an entry whose link it gives up, and still runs what it holds', async () => {
+  it('rejects new work on a retiring link, and continues to run held attempts', async () => {
     upstream.taskMs = 400;
-    core.handleStart(ENTRY, ORDER);
+    executor.handleStart(DISPATCHER, ORDER);
     await clock.advance(20);
-    core.setRetiring(ENTRY, true);
-    expect(core.takeCapacityChange(ENTRY)?.state).to.equal('draining');
-    expect(core.countHeld(ENTRY)).to.equal(1);
-    core.setRetiring(ENTRY, false);
-    expect(core.takeCapacityChange(ENTRY)?.state).to.equal('ready');
+    executor.setRetiring(DISPATCHER, true);
+    expect(executor.takeCapacityChange(DISPATCHER)?.state).to.equal('draining');
+    expect(executor.countHeld(DISPATCHER)).to.equal(1);
+    executor.setRetiring(DISPATCHER, false);
+    expect(executor.takeCapacityChange(DISPATCHER)?.state).to.equal('ready');
   });
 
-  it('tells progress only of what stands still or crawls', async () => {
+  it('reports progress only of stalled or slow tasks', async () => {
     upstream.taskMs = 400;
-    core.handleStart(ENTRY, ORDER);
+    executor.handleStart(DISPATCHER, ORDER);
     for (let ms = 0; ms < 300; ms += 20) {
       await clock.advance(20);
-      core.handlePong(ENTRY, {
+      executor.handlePong(DISPATCHER, {
         type: 'pong',
         version: VERSION,
         at: clock.now(),
@@ -162,96 +162,104 @@
         isWaiting: false,
       });
     }
-    expect(core.buildPing(ENTRY, VERSION).progress?.length ?? 0).to.equal(0);
-    core.handlePong(ENTRY, {
+    expect(executor.buildPing(DISPATCHER, VERSION).progress?.length ?? 0).to.equal(0);
+    executor.handlePong(DISPATCHER, {
       type: 'pong',
       version: VERSION,
       at: clock.now(),
       typicalSpeed: 4,
       isWaiting: false,
     });
-    expect(core.buildPing(ENTRY, VERSION).progress?.map(({ name }) => name)).to.deep.equal([ORDER.name]);
+    expect(executor.buildPing(DISPATCHER, VERSION).progress?.map(({ name }) => name)).to.deep.equal([
+      ORDER.name,
+    ]);
     upstream.hangs = true;
     await clock.advance(300);
-    core.handlePong(ENTRY, {
+    executor.handlePong(DISPATCHER, {
       type: 'pong',
       version: VERSION,
       at: clock.now(),
       typicalSpeed: 0.1,
       isWaiting: false,
     });
-    expect(core.buildPing(ENTRY, VERSION).progress?.[0]?.stalledMs).to.be.greaterThan(160);
+    expect(executor.buildPing(DISPATCHER, VERSION).progress?.[0]?.stalledMs).to.be.greaterThan(160);
   });
 
-  it('begins nothing while its failure domain is emptied, and lets what runs there end', async () => {
+  it('starts nothing while its failure domain is emptied, and lets running tasks end', async () => {
     upstream.taskMs = 100;
-    core.handleStart(ENTRY, ORDER);
+    executor.handleStart(DISPATCHER, ORDER);
     await clock.advance(20);
-    core.setEmptied(true);
-    expect(core.buildPing(ENTRY, VERSION).room?.state).to.equal('draining');
-    core.handleStart(ENTRY, { ...ORDER, name: { ...ORDER.name, index: 1, attempt: 2 } });
+    executor.setEmptied(true);
+    expect(executor.buildPing(DISPATCHER, VERSION).room?.state).to.equal('draining');
+    executor.handleStart(DISPATCHER, { ...ORDER, name: { ...ORDER.name, index: 1, attempt: 2 } });
     await clock.advance(300);
     expect(results).to.deep.equal(['not-run domain-emptied', 'done done']);
-    core.setEmptied(false);
-    expect(core.buildPing(ENTRY, VERSION).room?.state).to.equal('ready');
-    core.handleStart(ENTRY, { ...ORDER, name: { ...ORDER.name, index: 1, attempt: 3 } });
+    executor.setEmptied(false);
+    expect(executor.buildPing(DISPATCHER, VERSION).room?.state).to.equal('ready');
+    executor.handleStart(DISPATCHER, { ...ORDER, name: { ...ORDER.name, index: 1, attempt: 3 } });
     await clock.advance(300);
     expect(upstream.starts).to.equal(2);
   });
 
-  it('lets go what waits for room when its failure domain is emptied', async () => {
+  it('returns waiting tasks when its failure domain is emptied', async () => {
     upstream.taskMs = 1_000;
     for (let index = 0; index < 5; index += 1)
-      core.handleStart(ENTRY, { ...ORDER, name: { ...ORDER.name, index, attempt: index + 1 } });
-    core.setEmptied(true);
+      executor.handleStart(DISPATCHER, { ...ORDER, name: { ...ORDER.name, index, attempt: index + 1 } });
+    executor.setEmptied(true);
     expect(results).to.deep.equal(['not-run domain-emptied']);
   });
 
-  it('runs one suspect at a time, and others beside it', async () => {
+  it('runs one suspect task at a time, and other tasks beside it', async () => {
     const isSuspect = true;
-    core.handleStart(ENTRY, { ...ORDER, isSuspect });
-    core.handleStart(ENTRY, buildStartOrder(1, { isSuspect }));
-    core.handleStart(ENTRY, buildStartOrder(2));
+    executor.handleStart(DISPATCHER, { ...ORDER, isSuspect });
+    executor.handleStart(DISPATCHER, buildStartOrder(1, { isSuspect }));
+    executor.handleStart(DISPATCHER, buildStartOrder(2));
     await clock.advance(20);
     expect(results).to.deep.equal(['not-run other-suspect']);
     expect(upstream.running.size).to.equal(2);
     await clock.advance(400);
-    core.handleStart(ENTRY, buildStartOrder(1, { isSuspect, expiresAt: Infinity }));
+    executor.handleStart(DISPATCHER, buildStartOrder(1, { isSuspect, expiresAt: Infinity }));
     await clock.advance(20);
     expect(upstream.running.has('job/0/1')).to.equal(true);
   });
 
-  it('tells another entry of a crash that the one which ordered the task cannot hear of', async () => {
-    const heir = 'entry-2@1';
-    core.handleStart(ENTRY, ORDER);
+  it('reports a crash to another dispatcher if the one that ordered the task is gone', async () => {
+    const recipient = 'entry-2@1';
+    executor.handleStart(DISPATCHER, ORDER);
     await clock.advance(20);
-    core.handleWelcome(heir, clock.now());
-    core.handleDispatcherReplaced(ENTRY);
+    executor.handleWelcome(recipient, clock.now());
+    executor.handleDispatcherReplaced(DISPATCHER);
     upstream.refuses = true;
     await clock.advance(1_500);
-    core.tick();
-    core.tick();
-    expect(results).to.deep.equal(['lost upstream-crashed', `${heir} crashes 1`]);
+    executor.tick();
+    executor.tick();
+    expect(results).to.deep.equal(['lost upstream-crashed', `${recipient} crashes 1`]);
   });
 
-  it('tells nobody else of a crash that the entry has heard of', async () => {
-    core.handleWelcome('entry-2@1', clock.now());
-    core.handleStart(ENTRY, ORDER);
+  it('reports an acknowledged crash to no other dispatcher', async () => {
+    executor.handleWelcome('entry-2@1', clock.now());
+    executor.handleStart(DISPATCHER, ORDER);
     await clock.advance(20);
     upstream.refuses = true;
     await clock.advance(1_500);
-    core.handlePong(ENTRY, { type: 'pong', at: clock.now(), version: 1, typicalSpeed: 1, isWaiting: false });
-    core.handleDispatcherReplaced(ENTRY);
+    executor.handlePong(DISPATCHER, {
+      type: 'pong',
+      at: clock.now(),
+      version: 1,
+      typicalSpeed: 1,
+      isWaiting: false,
+    });
+    executor.handleDispatcherReplaced(DISPATCHER);
     expect(results).to.deep.equal(['lost upstream-crashed']);
   });
 
-  it('has a changed capacity told at once, and tells it with the room', () => {
-    core.buildPing(ENTRY, VERSION);
+  it('requests an immediate report of a changed total capacity, and includes it in the report', () => {
+    executor.buildPing(DISPATCHER, VERSION);
     report('u1', 2, { ...UPSTREAM_CAPACITY, cpuMilli: 1_000 });
-    expect(told).to.deep.equal([1_000]);
-    const change = core.takeCapacityChange(ENTRY);
+    expect(changedCapacities).to.deep.equal([1_000]);
+    const change = executor.takeCapacityChange(DISPATCHER);
     expect([change?.free.cpuMilli, change?.description?.capacity.cpuMilli]).to.deep.equal([1_000, 1_000]);
     report('u1', 3, { ...UPSTREAM_CAPACITY, cpuMilli: 1_000 });
-    expect(told).to.have.length(1);
+    expect(changedCapacities).to.have.length(1);
   });
 });
--- a/src/process/executor/Executor.ts
+++ b/src/process/executor/Executor.ts
@@ -1,8 +1,9 @@
 /**
- * The agent's decisions: which entries may have work running here, and which upstream does it.
+ * Decides for an executor which dispatchers may have work running here, and which upstream runs it.
  *
- * An entry proves that it is alive by echoing pings. What it ordered is stopped once its newest echo is older than
- * `orphanAfterMs`, before any lease is renewed; so a lost, frozen or cut entry leaves nothing behind.
+ * Dispatchers show that they are alive by acknowledging pings. The work of a dispatcher is stopped once the
+ * ping it last acknowledged is older than `orphanAfterMs`, before any lease is renewed, so that a crashed,
+ * frozen or partitioned dispatcher leaves no orphaned tasks.
  */
 import type { Clock } from '../../_lib/Clock.js';
 import { buildTaskKey, OTHER_SUSPECT, UPSTREAM_CRASHED } from '../../connection/peer/peerMessages.js';
@@ -34,88 +35,92 @@
 import { UpstreamSession } from './UpstreamSession.js';
 import type { SessionBounds } from './sessionEvents.js';
 
-/** How long results are kept to be told again on a new link, ms. */
-const KEEP_RESULTS_MS = 2_500;
-/** Time on the way and in the agent's loop that is added to when an orphan is surely gone, ms. */
+/** Time for which results are kept, to be sent again on a new link, ms. */
+const RESULT_RETENTION_MS = 2_500;
+/** Allowance for transit and event loop delay in the announced orphan timeout, ms. */
 const ORPHAN_MARGIN_MS = 60;
-/** Time without progress from which on an entry is told of it, ms. */
+/** Time without progress after which a task is reported as stalled, ms. */
 const STALL_MS = 150;
-/** Share of the typical speed below which an entry is told of all progress; entries move tasks at less. */
-const CRAWL_SHARE = 0.7;
-/** Age of an entry's newest echo, in parts of the time after which its work is stopped, from which on it is told no part. */
-const SILENT_PART = 0.6;
+/**
+ * Ratio to the typical speed below which the progress of all tasks is reported; higher than the ratio at
+ * which dispatchers move tasks.
+ */
+const SLOW_RATIO = 0.7;
+/** Fraction of the orphan timeout after which an unresponsive dispatcher gets no share of the capacity. */
+const UNRESPONSIVE_RATIO = 0.6;
 
-/** Times the agent keeps to, ms. */
+/** Timeouts of an executor, ms. */
 export interface ExecutorBounds extends SessionBounds {
-  /** Age of an entry's newest echo from which on its work is stopped. */
+  /** Orphan timeout: age of a dispatcher's last acknowledged ping after which its work is stopped. */
   readonly orphanAfterMs: number;
 }
 
-/** What the core has its process do. */
+/** Callbacks to the process that hosts the executor. */
 export interface ExecutorEffects {
   readonly openApi: (report: UpstreamReport) => UpstreamApi;
-  /** Sends a result to the entry's link, if it has one. */
-  readonly sendResult: (entryLife: string, result: AttemptResult) => void;
-  /** Sends crashes to the link of an entry that did not order the tasks. */
-  readonly sendCrashes: (entryLife: string, notice: CrashNotice) => void;
-  /** A life of an upstream takes work for the first time. */
+  /** Sends a result on the dispatcher's link, if it has one. */
+  readonly sendResult: (dispatcher: string, result: AttemptResult) => void;
+  /** Sends crash notices to a dispatcher other than the one that ordered the tasks. */
+  readonly sendCrashes: (dispatcher: string, notice: CrashNotice) => void;
+  /** Called when an incarnation of an upstream first becomes ready for work. */
   readonly handleJoined: (report: UpstreamReport) => void;
-  /** Room has changed. */
+  /** Called when the free capacity or the state has changed. */
   readonly handleChange: () => void;
-  /** The capacity of an upstream has changed. */
+  /** Called when the total capacity of an upstream has changed. */
   readonly handleCapacityChange: (report: UpstreamReport, before: Resources) => void;
-  /** An entry is told a part of the room. */
+  /** Called when a dispatcher is sent a share of the capacity. */
   readonly handleShareChange?: () => void;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
 interface DispatcherLiveness {
-  /** Our time of the newest ping that the entry has echoed. */
-  provenAt: number;
+  /** When the ping that the dispatcher last acknowledged was sent, by the local clock. */
+  acknowledgedAt: number;
   startsSeen: number;
-  /** Typical speed of upstreams as the entry sees it. */
+  /** Typical speed of upstreams as reported by the dispatcher. */
   typicalSpeed: number;
-  /** What its link was last told; a new link has been told nothing. */
-  told: ReportedCapacity;
-  /** Whether its link is to be given up, so that it must order nothing new. */
+  /** Capacity last reported on its link. */
+  reported: ReportedCapacity;
+  /** Whether its link is about to be closed, so that it must not order new tasks. */
   isRetiring: boolean;
-  results: KeptResult[];
+  results: RetainedResult[];
 }
 
-/** A result that was told of late. */
-interface KeptResult {
+/** A recently sent result. */
+interface RetainedResult {
   readonly at: number;
   readonly result: AttemptResult;
-  /** Where it tells of a crash. */
+  /** Set if the task was lost in a crash. */
   readonly crash: CrashedTask | undefined;
 }
 
-/** What a link was last told. */
+/** Capacity last reported on a link, in a form for comparison. */
 interface ReportedCapacity {
   readonly description: UpstreamDescription | undefined;
-  /** All of the rest but room and starts, as text. */
+  /** State, health, speed and preference as JSON. */
   readonly status: string;
-  /** The rest as text; empty if it has to be told in any case. */
-  readonly room: string;
+  /** The status, free capacity and counted starts as JSON; empty to force the next report. */
+  readonly capacity: string;
 }
 
-/** Decides for one agent. */
+/** State and decisions of one executor. */
 export class Executor {
   private readonly liveness = new Map<string, DispatcherLiveness>();
   private readonly shares = new CapacityShares();
   private readonly incarnations: UpstreamIncarnations;
   private leaving = false;
-  /** Whether the operators have emptied the agent's failure domain. */
+  /** Whether operators have emptied the executor's failure domain. */
   private isEmptied = false;
-  /** Life of the entry that is preferred; empty for none. */
+  /** Incarnation of the preferred dispatcher; empty for none. */
   private preferredIncarnation = '';
 
   constructor(
     private readonly identity: {
-      readonly agent: string;
-      readonly life: string;
+      /** Process id of the executor. */
+      readonly id: string;
+      readonly incarnation: string;
       readonly failureDomain: string;
-      /** Time of day at which this life began, Unix ms. */
+      /** Start of this incarnation, Unix ms. */
       readonly startedAt: number;
     },
     private readonly bounds: ExecutorBounds,
@@ -139,256 +144,289 @@
     );
   }
 
-  /** Tasks that wait or may run. */
+  /** Number of tasks that wait or may run. */
   get load(): number {
     let load = 0;
     for (const session of this.incarnations.list()) load += session.load;
     return load;
   }
 
-  /** An upstream has reported. */
+  /** Handles a report of an upstream. */
   handleReport(report: UpstreamReport): void {
     this.incarnations.handleReport(report);
   }
 
   /**
-   * An upstream has said that it ends.
+   * Handles the announcement of an upstream that it shuts down.
    *
-   * @param upstreamId - of the upstream
-   * @param bornAt - which life; undefined where it does not say
+   * @param upstreamId - id of the upstream
+   * @param bornAt - start of its incarnation; undefined if not reported
    */
   handleLeave(upstreamId: string, bornAt: number | undefined): void {
     this.incarnations.handleLeave(upstreamId, bornAt);
   }
 
-  /** A link to an entry is open and the entry has said which life it is. */
-  handleWelcome(entryLife: string, provenAt: number): void {
-    const proof = this.recordLiveness(entryLife, provenAt);
-    proof.startsSeen = 0;
-    proof.told = NOTHING_TOLD;
-    proof.isRetiring = false;
-    this.shares.handleLinked(entryLife);
+  /**
+   * Handles the welcome message of a dispatcher on a new link.
+   *
+   * @param dispatcher - incarnation of the dispatcher
+   * @param openedAt - when the link was opened, monotonic ms
+   */
+  handleWelcome(dispatcher: string, openedAt: number): void {
+    const liveness = this.recordLiveness(dispatcher, openedAt);
+    liveness.startsSeen = 0;
+    liveness.reported = NOTHING_REPORTED;
+    liveness.isRetiring = false;
+    this.shares.handleLinked(dispatcher);
   }
 
-  /** The link to an entry is to be given up once it has nothing here, or kept after all. */
-  setRetiring(entryLife: string, isRetiring: boolean): void {
-    this.findLiveness(entryLife, -Infinity).isRetiring = isRetiring;
+  /** Sets whether the link to a dispatcher is to be closed once no attempt is held for it. */
+  setRetiring(dispatcher: string, isRetiring: boolean): void {
+    this.findLiveness(dispatcher, -Infinity).isRetiring = isRetiring;
   }
 
-  /** Takes the life of the entry that is preferred to others; empty for none. Entries hear of it with their room. */
-  setPreferred(entryLife: string): void {
-    this.preferredIncarnation = entryLife;
+  /** Sets the incarnation of the preferred dispatcher; empty for none. It is reported with the capacity. */
+  setPreferred(dispatcher: string): void {
+    this.preferredIncarnation = dispatcher;
   }
 
-  /** Attempts that are held for an entry. */
-  countHeld(entryLife: string): number {
+  /** Counts the attempts held for a dispatcher. */
+  countHeld(dispatcher: string): number {
     let held = 0;
-    for (const session of this.incarnations.list()) held += session.listHeld(entryLife).length;
+    for (const session of this.incarnations.list()) held += session.listHeld(dispatcher).length;
     return held;
   }
 
-  /** An earlier life of an entry is over for sure. */
-  handleDispatcherReplaced(entryLife: string): void {
-    this.stopDispatcher(entryLife, 'entry-replaced');
-    this.deliverCrashes(entryLife);
-    this.liveness.delete(entryLife);
-    this.shares.forget(entryLife);
+  /** Stops the work of an earlier incarnation of a dispatcher that has been replaced. */
+  handleDispatcherReplaced(dispatcher: string): void {
+    this.stopDispatcher(dispatcher, 'entry-replaced');
+    this.sendUnacknowledgedCrashes(dispatcher);
+    this.liveness.delete(dispatcher);
+    this.shares.forget(dispatcher);
   }
 
-  /** Room that nobody uses. */
+  /** Free capacity. */
   get free(): Resources {
     return this.findSession()?.free ?? NO_RESOURCES;
   }
 
-  /** Tasks have begun to wait at an entry. */
-  handleDemand(entryLife: string, { waitingCpuMilli }: DemandNotice): void {
-    this.shares.recordDemand(entryLife, waitingCpuMilli);
+  /** Handles a notice that tasks wait at a dispatcher. */
+  handleDemand(dispatcher: string, { waitingCpuMilli }: DemandNotice): void {
+    this.shares.recordDemand(dispatcher, waitingCpuMilli);
   }
 
-  /** Whether an entry is told a part of the room, as it tells its demand. */
-  hasShare(entryLife: string): boolean {
-    return this.sharing === 'demand' && this.shares.hasReportedDemand(entryLife);
+  /** Whether a dispatcher is sent a share of the capacity: only if it reports its demand. */
+  hasShare(dispatcher: string): boolean {
+    return this.sharing === 'demand' && this.shares.hasReportedDemand(dispatcher);
   }
 
   /**
-   * Tells whether an entry is to hear of a change of room before its next ping.
+   * Checks whether a change of capacity is to be reported to a dispatcher before its next ping.
    *
-   * @param entryLife - of the entry
+   * @param dispatcher - incarnation of the dispatcher
    * @param isWaiting - whether tasks wait there
    */
-  needsCapacity(entryLife: string, isWaiting: boolean): boolean {
-    if (!this.hasShare(entryLife)) return isWaiting;
+  needsCapacity(dispatcher: string, isWaiting: boolean): boolean {
+    if (!this.hasShare(dispatcher)) return isWaiting;
     const { cpuMilli } = this.free;
-    return this.shares.isDue(entryLife, cpuMilli, this.listDispatcherUsage(), this.clock.now());
+    return this.shares.isDue(dispatcher, cpuMilli, this.listDispatcherUsage(), this.clock.now());
   }
 
-  /** Entries at which tasks wait, and the processor room that those ask for, thousandths of a core. */
-  get demand(): { readonly entries: number; readonly cpuMilli: number } {
-    return { entries: this.shares.waitingDispatchers, cpuMilli: this.shares.demand };
+  /**
+   * Number of dispatchers with waiting tasks, and the processor capacity these tasks need, thousandths of a
+   * core.
+   */
+  get demand(): { readonly dispatchers: number; readonly cpuMilli: number } {
+    return { dispatchers: this.shares.waitingDispatchers, cpuMilli: this.shares.demand };
   }
 
-  /** The entry has echoed a ping. */
-  handlePong(entryLife: string, { at, typicalSpeed, isWaiting, waitingCpuMilli }: Pong): void {
-    // The first echo of a link tells the amount; later ones leave it out while nothing waits.
-    const isOver = !isWaiting && this.shares.hasReportedDemand(entryLife);
-    this.shares.recordDemand(entryLife, isOver ? 0 : waitingCpuMilli);
-    const proof = this.recordLiveness(entryLife, at);
-    proof.typicalSpeed = typicalSpeed;
+  /** Handles the reply of a dispatcher to a ping. */
+  handlePong(dispatcher: string, { at, typicalSpeed, isWaiting, waitingCpuMilli }: Pong): void {
+    // Only the first pong of a link always has the amount; later ones omit it while no tasks wait.
+    const isOver = !isWaiting && this.shares.hasReportedDemand(dispatcher);
+    this.shares.recordDemand(dispatcher, isOver ? 0 : waitingCpuMilli);
+    const liveness = this.recordLiveness(dispatcher, at);
+    liveness.typicalSpeed = typicalSpeed;
   }
 
-  /** Builds the first message of a link; `entryLife` is the life that was last met there. */
-  buildHello(entryLife: string): ExecutorHello {
-    const held = this.incarnations.list().flatMap((session) => session.listHeld(entryLife));
-    const { agent, life, failureDomain } = this.identity;
+  /**
+   * Builds the first message of a link.
+   *
+   * @param dispatcher - last known incarnation of the dispatcher; empty for none
+   */
+  buildHello(dispatcher: string): ExecutorHello {
+    const held = this.incarnations.list().flatMap((session) => session.listHeld(dispatcher));
+    const { id, incarnation, failureDomain } = this.identity;
     const { leaseMs, stopMs, orphanAfterMs } = this.bounds;
     const orphanMs = orphanAfterMs + leaseMs * 1.05 + stopMs + ORPHAN_MARGIN_MS;
     const holding = held.map(({ order }) => order.name);
-    const results = (this.liveness.get(entryLife)?.results ?? []).map(({ result }) => result);
+    const results = (this.liveness.get(dispatcher)?.results ?? []).map(({ result }) => result);
     const takesBatches = true;
     return {
       type: 'agent-hello',
-      agent,
-      life,
+      agent: id,
+      life: incarnation,
       failureDomain,
       holding,
       results,
-      entryLife,
+      entryLife: dispatcher,
       orphanMs,
       takesBatches,
     };
   }
 
-  /** An entry orders a task. */
-  handleStart(entryLife: string, order: StartOrder): void {
+  /** Handles the order of a dispatcher to start a task. */
+  handleStart(dispatcher: string, order: StartOrder): void {
     const now = this.clock.now();
     this.expireDispatchers(now);
-    const proof = this.findLiveness(entryLife, -Infinity);
-    proof.startsSeen += 1;
-    const refusal = this.findRefusal(order, proof, now);
+    const liveness = this.findLiveness(dispatcher, -Infinity);
+    liveness.startsSeen += 1;
+    const refusal = this.findRefusal(order, liveness, now);
     if (refusal instanceof UpstreamSession) {
-      this.shares.recordStart(entryLife, order.resources.cpuMilli, now);
-      return refusal.offer(order, entryLife);
+      this.shares.recordStart(dispatcher, order.resources.cpuMilli, now);
+      return refusal.offer(order, dispatcher);
     }
-    this.sendResult(entryLife, { type: 'result', name: order.name, end: 'not-run', reason: refusal });
+    this.sendResult(dispatcher, { type: 'result', name: order.name, end: 'not-run', reason: refusal });
   }
 
-  /** An entry wants an attempt ended; if it is not here, its result has been told or never will be. */
-  handleStop(entryLife: string, { name }: StopOrder): void {
+  /** Handles the order of a dispatcher to stop an attempt; sends nothing if the attempt is not here. */
+  handleStop(dispatcher: string, { name }: StopOrder): void {
     const key = buildTaskKey(name);
     for (const session of this.incarnations.list()) {
-      if (session.stop(key, name.attempt, entryLife, 'stopped-by-entry')) return;
+      if (session.stop(key, name.attempt, dispatcher, 'stopped-by-entry')) return;
     }
   }
 
-  /** Builds a ping for one entry: room and progress only as far as its link needs to be told. */
-  buildPing(entryLife: string, version: number): Ping {
+  /** Builds a ping for a dispatcher; capacity and progress are included only if they have to be reported. */
+  buildPing(dispatcher: string, version: number): Ping {
     const at = Math.floor(this.clock.now());
-    const progress = this.listProgress(entryLife);
-    const room = this.takeCapacityReport(entryLife, true);
-    return { type: 'ping', at, version, room, progress: progress.length > 0 ? progress : undefined };
-  }
-
-  /** Returns the room if it is not what the entry's link was last told, and takes it for told. */
-  takeCapacityChange(entryLife: string): CapacityReport | undefined {
-    return this.takeCapacityReport(entryLife, false);
-  }
-
-  /** Pings also tell which starts are counted; between them an entry's part is told if it does not know it. */
-  private takeCapacityReport(entryLife: string, isPing: boolean): CapacityReport | undefined {
-    const proof = this.findLiveness(entryLife, -Infinity);
-    const { description, ...status } = this.buildStatus(entryLife);
-    const { free, isKnown } = this.findReportedCapacity(entryLife, status.state);
-    const rest = { ...status, free, startsSeen: proof.startsSeen };
-    const told = { description, status: JSON.stringify(status), room: JSON.stringify(rest) };
-    const isNew = description !== proof.told.description;
-    if (!isNew && told.room === proof.told.room) return undefined;
-    const isExpected = isKnown && proof.told.room !== '' && told.status === proof.told.status;
+    const progress = this.listProgress(dispatcher);
+    const capacity = this.takeCapacityReport(dispatcher, true);
+    return {
+      type: 'ping',
+      at,
+      version,
+      room: capacity,
+      progress: progress.length > 0 ? progress : undefined,
+    };
+  }
+
+  /**
+   * Returns the capacity if it differs from the one last reported to a dispatcher, and records it as
+   * reported.
+   */
+  takeCapacityChange(dispatcher: string): CapacityReport | undefined {
+    return this.takeCapacityReport(dispatcher, false);
+  }
+
+  /**
+   * Returns the capacity to report, and records it as reported. Pings also report the number of counted
+   * starts. Between them a share is reported only if the dispatcher cannot derive it from the last report and
+   * its own starts.
+   */
+  private takeCapacityReport(dispatcher: string, isPing: boolean): CapacityReport | undefined {
+    const liveness = this.findLiveness(dispatcher, -Infinity);
+    const { description, ...status } = this.buildStatus(dispatcher);
+    const { free, isUnchanged } = this.findReportedCapacity(dispatcher, status.state);
+    const details = { ...status, free, startsSeen: liveness.startsSeen };
+    const reported = { description, status: JSON.stringify(status), capacity: JSON.stringify(details) };
+    const isNew = description !== liveness.reported.description;
+    if (!isNew && reported.capacity === liveness.reported.capacity) return undefined;
+    const isExpected =
+      isUnchanged && liveness.reported.capacity !== '' && reported.status === liveness.reported.status;
     if (!isNew && !isPing && isExpected) return undefined;
-    if (this.hasShare(entryLife) && status.state === 'ready') this.effects.handleShareChange?.();
-    proof.told = told;
-    return { description: isNew ? description : undefined, ...rest };
+    if (this.hasShare(dispatcher) && status.state === 'ready') this.effects.handleShareChange?.();
+    liveness.reported = reported;
+    return { description: isNew ? description : undefined, ...details };
   }
 
-  private buildStatus(entryLife: string): Omit<CapacityReport, 'free' | 'startsSeen'> & {
+  private buildStatus(dispatcher: string): Omit<CapacityReport, 'free' | 'startsSeen'> & {
     readonly description: UpstreamDescription;
   } {
-    const { isRetiring } = this.findLiveness(entryLife, -Infinity);
+    const { isRetiring } = this.findLiveness(dispatcher, -Infinity);
     const session = this.findSession();
-    const isHome = entryLife === this.preferredIncarnation ? true : undefined;
+    const isHome = dispatcher === this.preferredIncarnation ? true : undefined;
     if (!session) return { ...ABSENT_STATUS, isHome };
     return {
       description: session.description,
       state: this.leaving || this.isEmptied || isRetiring ? 'draining' : session.state,
-      trust: session.readTrust(),
+      trust: session.readHealth(),
       speed: roundSpeed(session.readSpeed()),
       isHome,
     };
   }
 
-  /** Room that an entry is told: its part, if it tells its demand. */
+  /**
+   * Finds the free capacity to report to a dispatcher: its share if it reports its demand, else all of it.
+   */
   private findReportedCapacity(
-    entryLife: string,
+    dispatcher: string,
     state: CapacityReport['state'],
-  ): { readonly free: Resources; readonly isKnown: boolean } {
+  ): { readonly free: Resources; readonly isUnchanged: boolean } {
     const { free } = this;
-    // Where one task at a time is taken, an entry sees by all of the room whether there is one.
-    const isWhole = state !== 'ready' || this.findSession()?.readTrust() !== 'healthy';
-    if (isWhole || !this.hasShare(entryLife)) return { free, isKnown: false };
-    const entries = this.listDispatcherUsage();
-    if (!entries.some(({ life }) => life === entryLife)) return { free: NO_RESOURCES, isKnown: false };
-    const { cpuMilli, isKnown } = this.shares.reportShare(
-      entryLife,
+    // On probation one task at a time is taken; the undivided capacity shows whether one is running.
+    const isUndivided = state !== 'ready' || this.findSession()?.readHealth() !== 'healthy';
+    if (isUndivided || !this.hasShare(dispatcher)) return { free, isUnchanged: false };
+    const dispatchers = this.listDispatcherUsage();
+    if (!dispatchers.some(({ incarnation }) => incarnation === dispatcher))
+      return { free: NO_RESOURCES, isUnchanged: false };
+    const { cpuMilli, isUnchanged } = this.shares.reportShare(
+      dispatcher,
       free.cpuMilli,
-      entries,
+      dispatchers,
       this.clock.now(),
     );
-    return { free: { ...free, cpuMilli }, isKnown };
+    return { free: { ...free, cpuMilli }, isUnchanged };
   }
 
-  /** Entries that may be told room: those that live and whose links are to stay. */
+  /** Lists the usage of the dispatchers that may get capacity: responsive, on links that are not retiring. */
   private listDispatcherUsage(): DispatcherUsage[] {
     const now = this.clock.now();
     const used = this.findSession()?.sumUsed();
-    const entries: DispatcherUsage[] = [];
-    for (const [life, { provenAt, isRetiring }] of this.liveness) {
-      if (isRetiring || now - provenAt > this.bounds.orphanAfterMs * SILENT_PART) continue;
-      entries.push({ life, used: used?.get(life) ?? 0, isPreferred: life === this.preferredIncarnation });
+    const usage: DispatcherUsage[] = [];
+    for (const [incarnation, { acknowledgedAt, isRetiring }] of this.liveness) {
+      if (isRetiring || now - acknowledgedAt > this.bounds.orphanAfterMs * UNRESPONSIVE_RATIO) continue;
+      usage.push({
+        incarnation,
+        used: used?.get(incarnation) ?? 0,
+        isPreferred: incarnation === this.preferredIncarnation,
+      });
     }
-    return entries;
+    return usage;
   }
 
-  /** Attempts of an entry that stand still or crawl: only those may be moved. */
-  private listProgress(entryLife: string): AttemptProgress[] {
+  /** Lists the progress of a dispatcher's stalled or slow attempts, which are the only ones it may move. */
+  private listProgress(dispatcher: string): AttemptProgress[] {
     const now = this.clock.now();
-    const typicalSpeed = this.liveness.get(entryLife)?.typicalSpeed ?? 1;
+    const typicalSpeed = this.liveness.get(dispatcher)?.typicalSpeed ?? 1;
     const progress: AttemptProgress[] = [];
     for (const session of this.incarnations.list()) {
-      const crawls = session.readSpeed() < typicalSpeed * CRAWL_SHARE;
-      for (const { phase, order, percent, percentAt } of session.listHeld(entryLife)) {
+      const isSlow = session.readSpeed() < typicalSpeed * SLOW_RATIO;
+      for (const { phase, order, percent, percentAt } of session.listHeld(dispatcher)) {
         const stalledMs = Math.round(now - percentAt);
-        if (phase !== 'running' || (!crawls && stalledMs < STALL_MS)) continue;
+        if (phase !== 'running' || (!isSlow && stalledMs < STALL_MS)) continue;
         progress.push({ name: order.name, percent, stalledMs });
       }
     }
     return progress;
   }
 
-  /** Does what time brings. */
+  /** Applies timeouts. */
   tick(): void {
     const now = this.clock.now();
     this.expireDispatchers(now);
     this.incarnations.tick(now);
   }
 
-  /** Takes nothing new from now on. */
+  /** Rejects new tasks from now on. */
   leave(): void {
     this.leaving = true;
     this.effects.handleChange();
   }
 
   /**
-   * The operators have emptied the agent's failure domain, or taken it back. What runs there runs on to its end; nothing
-   * is begun, also if its dispatcher has not heard of it.
+   * Sets whether operators have emptied the executor's failure domain. While it is emptied, no task is
+   * started, even for dispatchers that do not have this information yet; running tasks continue.
    */
   setEmptied(isEmptied: boolean): void {
     if (isEmptied === this.isEmptied) return;
@@ -397,68 +435,73 @@
     this.effects.handleChange();
   }
 
-  /** Stops everything. */
+  /** Stops all tasks. */
   stopAll(reason: string): void {
     for (const session of this.incarnations.list()) session.stopAll(reason);
   }
 
-  /** Ends the sessions; what runs lapses. */
+  /** Closes the sessions; the leases of running tasks expire. */
   close(): void {
     for (const session of this.incarnations.list()) session.close('agent-ends');
   }
 
-  /** Stops what belongs to entries that have not proved to be alive, before anything is renewed for them. */
+  /** Stops the work of unresponsive dispatchers, before any lease is renewed for them. */
   private expireDispatchers(now: number): void {
-    for (const [life, proof] of this.liveness) {
-      const ageMs = now - proof.provenAt;
+    for (const [dispatcher, liveness] of this.liveness) {
+      const ageMs = now - liveness.acknowledgedAt;
       if (ageMs <= this.bounds.orphanAfterMs) continue;
-      const stopped = this.stopDispatcher(life, 'entry-silent');
+      const stopped = this.stopDispatcher(dispatcher, 'entry-silent');
       if (stopped > 0)
-        this.effects.log('entry-silent', { entryLife: life, ageMs: Math.round(ageMs), stopped });
-      this.deliverCrashes(life);
-      while (proof.results[0] && now - proof.results[0].at > KEEP_RESULTS_MS) proof.results.shift();
-      if (ageMs <= FORGET_ENTRY_MS) continue;
-      this.liveness.delete(life);
-      this.shares.forget(life);
+        this.effects.log('entry-silent', { entryLife: dispatcher, ageMs: Math.round(ageMs), stopped });
+      this.sendUnacknowledgedCrashes(dispatcher);
+      while (liveness.results[0] && now - liveness.results[0].at > RESULT_RETENTION_MS)
+        liveness.results.shift();
+      if (ageMs <= FORGET_DISPATCHER_MS) continue;
+      this.liveness.delete(dispatcher);
+      this.shares.forget(dispatcher);
     }
   }
 
   /**
-   * Crashes that an entry may not have heard of, as it has proved nothing since, are told another one: the callers of the
-   * tasks will submit them again there.
+   * Sends crash notices that a dispatcher has not acknowledged to another one, as callers submit the tasks
+   * again to another dispatcher.
    */
-  private deliverCrashes(entryLife: string): void {
-    const proof = this.findLiveness(entryLife, -Infinity);
-    const unheard = proof.results.filter(({ crash, at }) => crash && at > proof.provenAt);
-    if (unheard.length === 0) return;
-    const heir = this.findLiveDispatcher(entryLife);
-    if (heir === undefined) return;
-    proof.results = proof.results.filter((kept) => !unheard.includes(kept));
-    const tasks = unheard.flatMap(({ crash }) => crash ?? []);
-    this.effects.sendCrashes(heir, { type: 'crashes', tasks });
-    this.effects.log('crashes-handed-over', { entryLife, heir, tasks: tasks.length });
-  }
-
-  /** The entry, other than this one, that has proved last to be alive. */
-  private findLiveDispatcher(other: string): string | undefined {
-    const oldest = this.clock.now() - this.bounds.orphanAfterMs;
-    let [best, bestAt]: [string | undefined, number] = [undefined, oldest];
-    for (const [life, { provenAt }] of this.liveness)
-      if (life !== other && provenAt > bestAt) [best, bestAt] = [life, provenAt];
+  private sendUnacknowledgedCrashes(dispatcher: string): void {
+    const liveness = this.findLiveness(dispatcher, -Infinity);
+    const unacknowledged = liveness.results.filter(({ crash, at }) => crash && at > liveness.acknowledgedAt);
+    if (unacknowledged.length === 0) return;
+    const recipient = this.findLiveDispatcher(dispatcher);
+    if (recipient === undefined) return;
+    liveness.results = liveness.results.filter((kept) => !unacknowledged.includes(kept));
+    const tasks = unacknowledged.flatMap(({ crash }) => crash ?? []);
+    this.effects.sendCrashes(recipient, { type: 'crashes', tasks });
+    this.effects.log('crashes-handed-over', { entryLife: dispatcher, heir: recipient, tasks: tasks.length });
+  }
+
+  /** Finds the dispatcher with the newest acknowledged ping, other than the excluded one. */
+  private findLiveDispatcher(excluded: string): string | undefined {
+    const earliest = this.clock.now() - this.bounds.orphanAfterMs;
+    let [best, bestAt]: [string | undefined, number] = [undefined, earliest];
+    for (const [dispatcher, { acknowledgedAt }] of this.liveness)
+      if (dispatcher !== excluded && acknowledgedAt > bestAt) [best, bestAt] = [dispatcher, acknowledgedAt];
     return best;
   }
 
-  private stopDispatcher(entryLife: string, reason: string): number {
+  private stopDispatcher(dispatcher: string, reason: string): number {
     let stopped = 0;
-    for (const session of this.incarnations.list()) stopped += session.stopOwner(entryLife, reason);
+    for (const session of this.incarnations.list()) stopped += session.stopOwner(dispatcher, reason);
     return stopped;
   }
 
-  private findRefusal(order: StartOrder, proof: DispatcherLiveness, now: number): string | UpstreamSession {
+  private findRefusal(
+    order: StartOrder,
+    liveness: DispatcherLiveness,
+    now: number,
+  ): string | UpstreamSession {
     if (this.leaving) return 'leaving';
     if (this.isEmptied) return DOMAIN_EMPTIED;
     if (now > order.expiresAt) return 'expired';
-    if (now - proof.provenAt > this.bounds.orphanAfterMs) return 'entry-unproven';
+    if (now - liveness.acknowledgedAt > this.bounds.orphanAfterMs) return 'entry-unproven';
     const session = this.findSession();
     if (!session || session.state !== 'ready') return 'no-upstream';
     if (session.service !== order.service) return 'other-service';
@@ -466,28 +509,29 @@
     return session;
   }
 
-  /** The upstream that takes work: a ready one before one that joins or drains. */
+  /** Finds the session to use, by preference of its state. */
   private findSession(): UpstreamSession | undefined {
     let best: UpstreamSession | undefined;
     for (const session of this.incarnations.list()) {
       if (session.isClosed) continue;
-      if (!best || STATE_ORDER.indexOf(session.state) < STATE_ORDER.indexOf(best.state)) best = session;
+      if (!best || STATE_PREFERENCE.indexOf(session.state) < STATE_PREFERENCE.indexOf(best.state))
+        best = session;
     }
     return best;
   }
 
-  /** Takes a newer proof; it counts for what is ordered from now on, and not for what it comes too late for. */
-  private recordLiveness(entryLife: string, provenAt: number): DispatcherLiveness {
+  /** Records an acknowledged ping; work that has expired before is stopped first. */
+  private recordLiveness(dispatcher: string, acknowledgedAt: number): DispatcherLiveness {
     this.expireDispatchers(this.clock.now());
-    const proof = this.findLiveness(entryLife, provenAt);
-    proof.provenAt = Math.max(proof.provenAt, provenAt);
-    return proof;
+    const liveness = this.findLiveness(dispatcher, acknowledgedAt);
+    liveness.acknowledgedAt = Math.max(liveness.acknowledgedAt, acknowledgedAt);
+    return liveness;
   }
 
-  private findLiveness(entryLife: string, provenAt: number): DispatcherLiveness {
-    let proof = this.liveness.get(entryLife);
-    if (!proof) this.liveness.set(entryLife, (proof = createProof(provenAt)));
-    return proof;
+  private findLiveness(dispatcher: string, acknowledgedAt: number): DispatcherLiveness {
+    let liveness = this.liveness.get(dispatcher);
+    if (!liveness) this.liveness.set(dispatcher, (liveness = createLiveness(acknowledgedAt)));
+    return liveness;
   }
 
   private finish(task: LocalTask, end: AttemptResult['end'], reason: string): void {
@@ -508,27 +552,28 @@
     return { job, step, index, estimateMs: order.estimateMs, ranMs, isIsolated };
   }
 
-  private sendResult(entryLife: string, result: AttemptResult, crash?: CrashedTask): void {
+  private sendResult(dispatcher: string, result: AttemptResult, crash?: CrashedTask): void {
     const now = this.clock.now();
-    const proof = this.findLiveness(entryLife, -Infinity);
-    const { results } = proof;
-    // The entry takes the room of an attempt that has ended for free, until it is told the room again.
-    proof.told = { ...proof.told, room: '' };
-    while (results[0] && now - results[0].at > KEEP_RESULTS_MS) results.shift();
+    const liveness = this.findLiveness(dispatcher, -Infinity);
+    const { results } = liveness;
+    // The dispatcher counts the capacity of an ended attempt as free until the next report, which must be
+    // sent.
+    liveness.reported = { ...liveness.reported, capacity: '' };
+    while (results[0] && now - results[0].at > RESULT_RETENTION_MS) results.shift();
     results.push({ at: now, result, crash });
-    this.effects.sendResult(entryLife, result);
+    this.effects.sendResult(dispatcher, result);
   }
 }
 
-/** Why an attempt is not begun while the agent's failure domain is emptied. */
+/** Reason for rejecting starts while the executor's failure domain is emptied. */
 const DOMAIN_EMPTIED = 'domain-emptied';
 
-/** Entries that have been silent for so long are forgotten, ms. */
-const FORGET_ENTRY_MS = 10_000;
+/** Time after which unresponsive dispatchers are removed, ms. */
+const FORGET_DISPATCHER_MS = 10_000;
 
-const STATE_ORDER = ['ready', 'silent', 'joining', 'draining', 'absent'] as const;
+const STATE_PREFERENCE = ['ready', 'silent', 'joining', 'draining', 'absent'] as const;
 
-const NOTHING_TOLD: ReportedCapacity = { description: undefined, status: '', room: '' };
+const NOTHING_REPORTED: ReportedCapacity = { description: undefined, status: '', capacity: '' };
 
 const ABSENT_DESCRIPTION: UpstreamDescription = {
   upstream: '',
@@ -544,12 +589,12 @@
   speed: 1,
 } as const;
 
-function createProof(provenAt: number): DispatcherLiveness {
+function createLiveness(acknowledgedAt: number): DispatcherLiveness {
   return {
-    provenAt,
+    acknowledgedAt,
     startsSeen: 0,
     typicalSpeed: 1,
-    told: NOTHING_TOLD,
+    reported: NOTHING_REPORTED,
     isRetiring: false,
     results: [],
   };
--- a/src/process/executor/ExecutorDaemon.ts
+++ b/src/process/executor/ExecutorDaemon.ts
@@ -1,4 +1,4 @@
-/** The agent as a process: links to entries, the upstream beside it, life cycle. */
+/** Executor process: links to dispatchers, the upstream on the same VM, start and shutdown. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { createRandom } from '../../_lib/createRandom.js';
@@ -23,34 +23,38 @@
 import { buildExecutorMetrics } from './executorMetrics.js';
 import { isKnownService } from './isKnownService.js';
 
-/** Between two looks at what has expired and which pings are due, ms. One timer: each wake-up costs. */
+/**
+ * Interval of the timer that applies timeouts and sends due pings, ms; a single timer keeps wake-ups rare.
+ */
 const TICK_MS = 57;
-/** Looks between two reviews of which entries to link to. */
-const KEEP_TICKS = 2;
-/** Between two messages about entries, ms. */
-const MEMBERS_MS = 5_000;
-/** Time kept from the grace period to stop what is left and tell it, ms. */
-const END_MARGIN_MS = 700;
-
-/** Outside parts of an executor. */
+/** Ticks between two updates of the links. */
+const LINK_UPDATE_TICKS = 2;
+/** Interval of messages that list the known dispatchers, ms. */
+const MEMBERS_INTERVAL_MS = 5_000;
+/**
+ * End of the grace period that is reserved for stopping the remaining tasks and sending their results, ms.
+ */
+const STOP_MARGIN_MS = 700;
+
+/** External dependencies of an executor. */
 export interface ExecutorPorts {
   readonly registry: UpstreamRegistry;
-  readonly memory: UpstreamReportStore;
+  readonly reportStore: UpstreamReportStore;
 }
 
-/** An agent process. */
+/** An executor process. */
 export class ExecutorDaemon {
   private readonly clock = createDaemonClock((event, fields) => this.logDecision(event, fields));
   private readonly logger: ProcessLogger;
   private readonly metrics: ServedMetrics;
-  private readonly core: Executor;
+  private readonly executor: Executor;
   private readonly links: DispatcherLinks;
   private readonly pauseGuard: PauseGuard;
-  /** Whether an upstream has reported itself to this life of the process. */
+  /** Whether an upstream has sent a report since this process started. */
   private hasReport = false;
-  /** The life of the upstream that is kept for the next life of this process, and its capacity. */
-  private kept = '';
-  private keeping: Promise<void> = Promise.resolve();
+  /** Incarnation and capacity of the upstream as last saved, for the next start of this process. */
+  private saved = '';
+  private saving: Promise<void> = Promise.resolve();
   private leaving = false;
   private ticks = 0;
 
@@ -62,8 +66,8 @@
     const peer = createIncarnation(settings.id, startedAt);
     const times = deriveDispatchTimes(settings);
     this.logger = createLogger(peer, settings.logLevel, createLogSink());
-    this.core = new Executor(
-      { agent: settings.id, life: peer, failureDomain: settings.failureDomain, startedAt },
+    this.executor = new Executor(
+      { id: settings.id, incarnation: peer, failureDomain: settings.failureDomain, startedAt },
       {
         ...times,
         maxLeaseMs: settings.maxLeaseMs,
@@ -73,15 +77,15 @@
       this.clock,
       {
         openApi: (report) => this.ports.registry.openApi(report),
-        sendResult: (life, result) => {
+        sendResult: (dispatcher, result) => {
           this.metrics.increment('executor_task_ends', { end: result.end });
           if (result.reason === 'full') this.metrics.increment('executor_returned_starts');
-          this.links.sendResult(life, result);
+          this.links.sendResult(dispatcher, result);
         },
-        sendCrashes: (life, notice) => this.links.sendCrashes(life, notice),
-        handleJoined: (report) => this.rememberUpstream(report),
+        sendCrashes: (dispatcher, notice) => this.links.sendCrashes(dispatcher, notice),
+        handleJoined: (report) => this.saveUpstream(report),
         handleChange: () => this.links.scheduleCapacityReports(),
-        handleCapacityChange: (report, before) => this.noteCapacity(report, before),
+        handleCapacityChange: (report, before) => this.handleCapacityChange(report, before),
         handleShareChange: () => this.metrics.increment('executor_parts_told'),
         log: (event, fields) => this.logDecision(event, fields),
       },
@@ -90,62 +94,65 @@
     this.metrics = new ServedMetrics(
       settings.metricsAddress,
       buildExecutorMetrics({
-        readLoad: () => this.core.load,
+        readLoad: () => this.executor.load,
         readKeptVersion: () => this.links.keptVersion,
-        readWaitingEntries: () => this.core.demand.entries,
-        readDemand: () => this.core.demand.cpuMilli,
+        readWaitingDispatchers: () => this.executor.demand.dispatchers,
+        readDemand: () => this.executor.demand.cpuMilli,
       }),
     );
     this.pauseGuard = new PauseGuard(this.clock.now(), (gapMs) => {
       this.logger.warn('paused', { gapMs: Math.round(gapMs) });
       this.links.handlePause();
     });
-    const { id: agent, failureDomain, maxLinks, smallFleet, linkPort, linkMbps } = settings;
+    const { id: executor, failureDomain, maxLinks, smallFleet, linkPort, linkMbps } = settings;
     const { pingMs } = times;
-    const options = { agent, failureDomain, maxLinks, smallFleet, linkPort, pingMs, linkMbps };
+    const options = { executor, failureDomain, maxLinks, smallFleet, linkPort, pingMs, linkMbps };
     const nextRandom = createRandom(Date.now() % 1_000_000);
     const log = (event: string, fields: LogFields): void => this.logDecision(event, fields);
-    this.links = new DispatcherLinks(options, this.core, this.clock, log, nextRandom);
+    this.links = new DispatcherLinks(options, this.executor, this.clock, log, nextRandom);
   }
 
-  /** Starts to listen for the upstream and to dial the entries. */
+  /** Starts to listen for reports of the upstream and to connect to dispatchers. */
   async start(): Promise<void> {
     this.logger.info('started', { failureDomain: this.settings.failureDomain });
     await this.ports.registry.start({
-      report: (report) => this.takeReport(report),
-      leave: (upstreamId, bornAt) => this.core.handleLeave(upstreamId, bornAt),
+      report: (report) => this.handleReport(report),
+      leave: (upstreamId, bornAt) => this.executor.handleLeave(upstreamId, bornAt),
       recordRejected: (call, reason) => this.logger.warn('report-rejected', { call, reason }),
       recordFailure: (call, error) => logFailure(this.logger, 'call-failed', { call }, error),
     });
     this.links.recordSeeds(this.settings.seeds);
-    void this.recallUpstream();
+    void this.loadUpstream();
     this.metrics.start();
     startTimer(this.logger, 'tick', TICK_MS, () => this.tick());
-    startTimer(this.logger, 'members', MEMBERS_MS, () => this.links.sendMembers());
+    startTimer(this.logger, 'members', MEMBERS_INTERVAL_MS, () => this.links.sendMembers());
   }
 
-  /** Takes changed settings: other seeds are dialed; all else needs a restart. */
+  /** Applies changed settings: only the seeds; all others need a restart. */
   reload(settings: DispatchSettings): void {
     this.logger.info('reloaded', { seeds: settings.seeds });
     this.settings = settings;
     this.links.recordSeeds(settings.seeds);
   }
 
-  /** Stops as planned: takes nothing new, lets what runs end, stops the rest, and returns. */
+  /**
+   * Shuts down gracefully: rejects new tasks, waits for running ones up to the grace period, and stops the
+   * rest.
+   */
   async stop(): Promise<void> {
     if (this.leaving) return;
     this.leaving = true;
-    this.logger.info('leaving', { tasks: this.core.load });
-    this.core.leave();
-    const endAt = this.clock.now() + this.settings.graceSeconds * 1_000 - END_MARGIN_MS;
-    while (this.core.load > 0 && this.clock.now() < endAt) await sleep(TICK_MS / 2);
-    this.core.stopAll('agent-ends');
-    const stoppedBy = this.clock.now() + END_MARGIN_MS / 2;
-    while (this.core.load > 0 && this.clock.now() < stoppedBy) await sleep(TICK_MS / 4);
+    this.logger.info('leaving', { tasks: this.executor.load });
+    this.executor.leave();
+    const endAt = this.clock.now() + this.settings.graceSeconds * 1_000 - STOP_MARGIN_MS;
+    while (this.executor.load > 0 && this.clock.now() < endAt) await sleep(TICK_MS / 2);
+    this.executor.stopAll('agent-ends');
+    const stoppedBy = this.clock.now() + STOP_MARGIN_MS / 2;
+    while (this.executor.load > 0 && this.clock.now() < stoppedBy) await sleep(TICK_MS / 4);
     await sleep(TICK_MS / 2);
-    this.logger.info('stopped', { tasks: this.core.load });
+    this.logger.info('stopped', { tasks: this.executor.load });
     this.metrics.stop();
-    this.ports.memory.stop();
+    this.ports.reportStore.stop();
     this.links.stop();
     await this.ports.registry.stop();
     this.logger.flush();
@@ -156,10 +163,10 @@
     this.logger.info(event, fields);
   }
 
-  private takeReport(report: UpstreamReport): void {
+  private handleReport(report: UpstreamReport): void {
     if (!this.isOfKnownService(report)) return;
     this.hasReport = true;
-    this.core.handleReport(report);
+    this.executor.handleReport(report);
   }
 
   private isOfKnownService(report: UpstreamReport): boolean {
@@ -173,54 +180,57 @@
     return false;
   }
 
-  /** The entries hear of it at once, and the next life of this process must not start by the earlier capacity. */
-  private noteCapacity(report: UpstreamReport, before: Resources): void {
+  /** Reports the new capacity to all dispatchers at once, and replaces the saved one. */
+  private handleCapacityChange(report: UpstreamReport, before: Resources): void {
     const direction = fitResources(before, report.capacity) ? 'grown' : 'shrunk';
     this.metrics.increment('executor_capacity_changes', { direction });
     this.links.sendCapacity();
-    if (this.kept.startsWith(describeLife(report))) this.rememberUpstream(report);
+    if (this.saved.startsWith(buildIncarnationPrefix(report))) this.saveUpstream(report);
   }
 
-  /** Only a life that has answered is kept for the next life of this process: a report may have been held up. */
-  private rememberUpstream(report: UpstreamReport): void {
+  /**
+   * Saves an incarnation that has answered, for the next start of this process; a report alone may be
+   * outdated.
+   */
+  private saveUpstream(report: UpstreamReport): void {
     const name = buildIncarnationName(report);
-    const kept = describeKept(report);
-    if (kept === this.kept || report.isDraining) return;
-    this.kept = kept;
-    const keep = (): Promise<void> =>
-      this.ports.memory.save(this.settings.id, report).catch((error: unknown) => {
+    const key = buildSavedKey(report);
+    if (key === this.saved || report.isDraining) return;
+    this.saved = key;
+    const save = (): Promise<void> =>
+      this.ports.reportStore.save(this.settings.id, report).catch((error: unknown) => {
         this.logger.warn('upstream-not-remembered', { upstream: name, error: describeError(error) });
       });
-    // One after another: an earlier report that is written again must not take the place of a later one.
-    this.keeping = this.keeping.then(keep);
+    // One at a time, so that a retried write of an earlier report does not replace a later one.
+    this.saving = this.saving.then(save);
   }
 
-  /** Finds the upstream of an earlier life, whose next report may be more than a second away. */
-  private async recallUpstream(): Promise<void> {
-    const report = await this.ports.memory.load(this.settings.id).catch((error: unknown) => {
+  /** Loads the upstream saved by an earlier process, as its next report may be more than a second away. */
+  private async loadUpstream(): Promise<void> {
+    const report = await this.ports.reportStore.load(this.settings.id).catch((error: unknown) => {
       this.logger.warn('upstream-not-recalled', { error: describeError(error) });
       return undefined;
     });
     if (!report || this.hasReport || this.leaving || !this.isOfKnownService(report)) return;
-    this.kept = describeKept(report);
+    this.saved = buildSavedKey(report);
     this.logger.info('upstream-recalled', { upstream: buildIncarnationName(report) });
-    this.core.handleReport({ ...report, clockMs: 0, sequence: -1 });
+    this.executor.handleReport({ ...report, clockMs: 0, sequence: -1 });
   }
 
   private tick(): void {
     this.pauseGuard.update(this.clock.now());
-    this.core.tick();
-    this.links.ping();
+    this.executor.tick();
+    this.links.sendDuePings();
     this.ticks += 1;
-    if (this.ticks % KEEP_TICKS === 0) this.links.keep();
+    if (this.ticks % LINK_UPDATE_TICKS === 0) this.links.updateLinks();
   }
 }
 
-/** Tells apart what is kept of an upstream. */
-function describeKept(report: UpstreamReport): string {
-  return describeLife(report) + JSON.stringify(report.capacity);
+/** Builds a key of the saved properties, to detect changes. */
+function buildSavedKey(report: UpstreamReport): string {
+  return buildIncarnationPrefix(report) + JSON.stringify(report.capacity);
 }
 
-function describeLife(report: UpstreamReport): string {
+function buildIncarnationPrefix(report: UpstreamReport): string {
   return `${buildIncarnationName(report)} `;
 }
--- a/src/process/executor/FencingTokens.test.ts
+++ b/src/process/executor/FencingTokens.test.ts
@@ -12,14 +12,14 @@
     clock = new FakeClock();
   });
 
-  it('rise within a millisecond, and with the time of day', async () => {
+  it('increase within a millisecond, and with the time of day', async () => {
     const tokens = new FencingTokens(NOON_MS, clock);
     expect([tokens.take(), tokens.take(), tokens.take()]).to.deep.equal([NOON_MS, NOON_MS + 1, NOON_MS + 2]);
     await clock.advance(500);
     expect(tokens.take()).to.equal(NOON_MS + 500);
   });
 
-  it('are above those of an earlier process after some tries, also where the time of day was set back', () => {
+  it('exceed those of an earlier process after some attempts, even if the time of day was set back', () => {
     const before = new FencingTokens(NOON_MS, clock).take();
     const tokens = new FencingTokens(NOON_MS - 3_600_000, clock);
     let token = tokens.take();
@@ -28,14 +28,14 @@
     expect(tries).to.be.at.most(23);
   });
 
-  it('are above one that was refused, whoever took it', () => {
+  it('exceed a refused token of any process', () => {
     const tokens = new FencingTokens(NOON_MS, clock);
     const first = tokens.take();
     const second = tokens.take();
     expect(tokens.takeAbove(first)).to.be.greaterThan(second);
   });
 
-  it('stay exact over the widest steps', () => {
+  it('remain safe integers with the largest steps', () => {
     const tokens = new FencingTokens(NOON_MS, clock);
     let token = tokens.take();
     for (let tries = 0; tries < 10_000; tries += 1) {
--- a/src/process/executor/FencingTokens.ts
+++ b/src/process/executor/FencingTokens.ts
@@ -1,14 +1,14 @@
-/** Fencing tokens that one process gives its calls to upstreams. */
+/** Fencing tokens for the calls of one process to upstreams. */
 import type { Clock } from '../../_lib/Clock.js';
 
-/** Longest step above a token that was refused, ms: a quarter of an hour, so that sums stay exact for centuries. */
+/** Largest step above a refused token, ms; keeps tokens within the safe integers. */
 const MAX_STEP_MS = 2 ** 20;
 
 /**
- * Takes tokens that rise: over all sessions of this process, and over the processes before it on this VM, as each token is
- * at least the time of day at which it is taken. The clock of an upstream would not do: it begins anew with each life, so
- * that a token taken from the next life's clock may be below one that was taken from the earlier life's and has reached
- * the next life since. That one would refuse all that its own session sends.
+ * Issues increasing tokens, across all sessions of this process and across earlier processes on this VM, as
+ * each token is at least the time of day in ms. The clock of an upstream is not suitable, as it restarts with
+ * each incarnation: a token from the clock of an earlier incarnation may have reached the next one, which
+ * would then refuse its own session.
  */
 export class FencingTokens {
   private last = 0;
@@ -16,8 +16,8 @@
   private readonly offsetMs: number;
 
   /**
-   * @param unixMs - time of day now; later times follow from the steady clock, so that they never fall
-   * @param clock - of this process
+   * @param unixMs - current time of day, Unix ms; advanced by the steady clock, so that it never decreases
+   * @param clock - clock of this process
    */
   constructor(
     unixMs: number,
@@ -26,17 +26,17 @@
     this.offsetMs = unixMs - clock.readSteady();
   }
 
-  /** Takes a token above all that were taken here. */
+  /** Issues a token above all tokens issued before. */
   take(): number {
     this.step = 1;
     return this.raiseTo(this.last + 1);
   }
 
   /**
-   * Takes a token in the place of one that was refused. The time of day may have been set back since an earlier process
-   * took its tokens: each try in a row goes twice as far, so that an hour is made up for in 23 of them.
+   * Issues a token to replace a refused one. As the time of day may have been set back since an earlier
+   * process issued its tokens, the step doubles with each consecutive call: 23 calls compensate for an hour.
    *
-   * @param refused - the token that an upstream has refused
+   * @param refused - token that an upstream has refused
    */
   takeAbove(refused: number): number {
     const token = this.raiseTo(Math.max(this.last, refused) + this.step);
--- a/src/process/executor/RunHistory.ts
+++ b/src/process/executor/RunHistory.ts
@@ -1,13 +1,13 @@
-/** Highest run of each task that was seen at one life of an upstream: a new run must be above it. */
+/** Highest run number of each task at one incarnation of an upstream; a new run needs a higher one. */
 
-/** Tasks whose highest run is remembered. */
+/** Maximum number of tasks that are kept; the oldest are removed. */
 const MAX_TASKS = 20_000;
 
-/** Runs of the tasks of one upstream. */
+/** Run numbers of the tasks of one upstream. */
 export class RunHistory {
   private readonly highest = new Map<string, number>();
 
-  /** Notes a run of a task. */
+  /** Records a run of a task. */
   record(key: string, run: number): void {
     this.highest.set(key, Math.max(run, this.highest.get(key) ?? 0));
     if (this.highest.size <= MAX_TASKS) return;
@@ -15,7 +15,7 @@
     if (oldest !== undefined) this.highest.delete(oldest);
   }
 
-  /** Takes the next run of a task. */
+  /** Issues the next run number of a task. */
   take(key: string): number {
     const run = (this.highest.get(key) ?? 0) + 1;
     this.record(key, run);
--- a/src/process/executor/RunLists.ts
+++ b/src/process/executor/RunLists.ts
@@ -1,4 +1,7 @@
-/** Reads what one life of an upstream lists with each renewal: what has ended there, what runs, and so what is gone. */
+/**
+ * Applies the lists of running and ended runs that an incarnation of an upstream returns with each lease
+ * renewal. Runs in neither list are gone.
+ */
 import type { AttemptEnd } from '../../connection/peer/peerMessages.js';
 import { buildTaskKey } from '../../connection/peer/peerMessages.js';
 import type { EndedRun, LeaseAnswer, RunName, RunningRun } from '../../ports/UpstreamApi.js';
@@ -6,24 +9,24 @@
 import type { LocalTask } from './localTask.js';
 import type { RunHistory } from './RunHistory.js';
 
-/** The session on whose behalf lists are read. */
+/** Callbacks to the session. */
 export interface ListHost {
-  /** The upstream has begun a task. */
+  /** Called when the upstream has started a task. */
   readonly confirm: (task: LocalTask, now: number) => void;
   readonly recordProgress: (task: LocalTask, percent: number, now: number) => void;
   readonly finish: (task: LocalTask, end: AttemptEnd, reason: string) => void;
-  /** Something runs that nobody here has ordered. */
+  /** Stops a run that this process has not ordered. */
   readonly stopUnknown: (name: RunName) => void;
 }
 
-/** Lists of one life. */
+/** Lists of one incarnation. */
 export class RunLists {
-  private lastSequenceRead = 0;
+  private lastAppliedSequence = 0;
 
   /**
-   * @param tasks - that may run there, by key
-   * @param runs - numbers of runs at this life
-   * @param host - the session
+   * @param tasks - tasks that may run there, by key
+   * @param runs - run numbers at this incarnation
+   * @param host - callbacks to the session
    */
   constructor(
     private readonly tasks: ReadonlyMap<string, LocalTask>,
@@ -31,20 +34,20 @@
     private readonly host: ListHost,
   ) {}
 
-  /** Ends up to here have been noted for good. */
+  /** Sequence number up to which ends have been applied. */
   get lastSequence(): number {
-    return this.lastSequenceRead;
+    return this.lastAppliedSequence;
   }
 
   /**
-   * Takes the lists of an answer.
+   * Applies the lists of an answer.
    *
-   * @param answer - to a renewal
-   * @param sentAt - when that was sent
-   * @param now - when the answer came
-   * @returns how many runs nobody here has ordered
+   * @param answer - answer to a renewal
+   * @param sentAt - when the renewal was sent
+   * @param now - when the answer arrived
+   * @returns the number of running runs that this process has not ordered
    */
-  take(answer: Extract<LeaseAnswer, { verdict: 'held' }>, sentAt: number, now: number): number {
+  applyAnswer(answer: Extract<LeaseAnswer, { verdict: 'held' }>, sentAt: number, now: number): number {
     for (const ended of answer.ended) this.handleEnd(ended, now);
     const unknown = this.handleRunning(answer.running, now);
     this.handleMissing(answer.running, sentAt);
@@ -52,8 +55,8 @@
   }
 
   private handleEnd(ended: EndedRun, now: number): void {
-    if (ended.sequence <= this.lastSequenceRead) return;
-    this.lastSequenceRead = ended.sequence;
+    if (ended.sequence <= this.lastAppliedSequence) return;
+    this.lastAppliedSequence = ended.sequence;
     const key = buildTaskKey(ended.name);
     this.runs.record(key, ended.name.run);
     const task = this.tasks.get(key);
@@ -62,7 +65,7 @@
     this.host.finish(task, convertRunEnd(ended.end), ended.end);
   }
 
-  /** Notes progress; stops what nobody here has ordered, and returns how many those are. */
+  /** Records progress, and stops unknown runs; returns the number of unknown runs. */
   private handleRunning(running: readonly RunningRun[], now: number): number {
     let unknown = 0;
     for (const { name, percent } of running) {
@@ -79,7 +82,10 @@
     return unknown;
   }
 
-  /** What ran, or was to be stopped, and is in neither list of a renewal sent later is certainly gone. */
+  /**
+   * Finishes tasks that were confirmed, or whose stop was accepted, before the renewal was sent and are not
+   * listed.
+   */
   private handleMissing(running: readonly RunningRun[], sentAt: number): void {
     const names = new Set(running.map(({ name }) => `${buildTaskKey(name)}/${name.run}`));
     for (const task of [...this.tasks.values()]) {
--- a/src/process/executor/RunOrders.ts
+++ b/src/process/executor/RunOrders.ts
@@ -1,8 +1,8 @@
 /**
- * Sends starts and stops of tasks to one life of an upstream until they are settled.
+ * Sends starts and stops of tasks to one incarnation of an upstream until they are settled.
  *
- * Orders are repeated when no answer comes; they carry the run's number and a near lease, so that a late copy does
- * nothing at the same life.
+ * Orders without an answer are repeated. The run number and a short lease make them idempotent: a delayed
+ * duplicate has no effect at the same incarnation.
  */
 import type { Clock } from '../../_lib/Clock.js';
 import { ConnectionRefusedError } from '../../_lib/errors.js';
@@ -12,40 +12,46 @@
 import type { RunHistory } from './RunHistory.js';
 import type { UpstreamCalls } from './UpstreamCalls.js';
 
-/** Pause before a stop that was accepted is sent again, as its end was not listed, ms. */
-const STOP_PAUSE_MS = 120;
-/** Pause between two looks whether a silent upstream answers again, ms: short against the lease of a task. */
-const ANSWER_LOOK_MS = 40;
+/** Pause before an accepted stop is repeated if the end of the run has not been listed, ms. */
+const STOP_REPEAT_PAUSE_MS = 120;
+/**
+ * Interval at which an unresponsive upstream is checked before a stop is sent, ms; short compared with a
+ * lease.
+ */
+const ANSWER_POLL_MS = 40;
 /** Pause before an order is repeated, ms. */
 const REPEAT_PAUSE_MS = 15;
-/** Times that a start is sent before it is withdrawn. */
+/** Number of attempts to send a start before it is withdrawn. */
 const MAX_START_SENDS = 4;
 
-/** The session on whose behalf orders are sent. */
+/** Callbacks to the session. */
 export interface OrderHost {
-  /** Whether nothing more is to be sent to this life. */
+  /** Whether nothing more may be sent to this incarnation. */
   readonly isOver: () => boolean;
   readonly isReachable: () => boolean;
-  /** A start is about to be repeated, which gives a lease to all that runs: stops what may not run on, or not start. */
+  /**
+   * Called before a start is repeated, which extends the lease of all runs: stops tasks that may not run any
+   * longer.
+   */
   readonly revalidate: (task: LocalTask) => void;
-  /** The upstream has begun a task. */
+  /** Called when the upstream has started a task. */
   readonly confirm: (task: LocalTask) => void;
-  /** A task is to be stopped, as it is not certain whether it was begun. */
+  /** Stops a task that may or may not have been started. */
   readonly withdraw: (task: LocalTask, reason: string) => void;
-  /** The upstream did nothing and says so. */
+  /** Called when the upstream has refused a start. */
   readonly handleRefused: (task: LocalTask) => void;
-  /** Another upstream answers. */
+  /** Called when another incarnation answers. */
   readonly handleOtherIncarnation: () => void;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-/** Orders to one life of an upstream. */
+/** Orders to one incarnation of an upstream. */
 export class RunOrders {
   /**
-   * @param calls - to the upstream
-   * @param runs - numbers of runs at this life
-   * @param clock - of this process
-   * @param host - the session
+   * @param calls - calls to the upstream
+   * @param runs - run numbers at this incarnation
+   * @param clock - clock of this process
+   * @param host - callbacks to the session
    */
   constructor(
     private readonly calls: UpstreamCalls,
@@ -54,7 +60,7 @@
     private readonly host: OrderHost,
   ) {}
 
-  /** Sends a start until it is settled; one that gets no answer is withdrawn in the end. */
+  /** Sends a start until it is settled; withdraws it if no attempt is answered. */
   async start(task: LocalTask): Promise<void> {
     for (let sends = 0; task.phase === 'starting' && !this.host.isOver(); sends += 1) {
       if (sends >= MAX_START_SENDS) return this.host.withdraw(task, 'start-unanswered');
@@ -74,7 +80,7 @@
     }
   }
 
-  /** Acts on the answer to a start; returns false if it is to be sent again. */
+  /** Handles the answer to a start; returns false if it is to be sent again. */
   private settleStart(task: LocalTask, verdict: StartVerdict): boolean {
     switch (verdict) {
       case 'started':
@@ -86,7 +92,7 @@
       case 'late':
         return false;
       case 'other-life':
-        // Another life has refused it, so that this one cannot have begun it by this send.
+        // Another incarnation has refused it, so this attempt cannot have started it here.
         task.openSends -= 1;
         this.host.handleOtherIncarnation();
         return true;
@@ -101,8 +107,9 @@
   }
 
   /**
-   * A run as new as ours has stopped or ended there. If the lists show that it was ours, its end comes with the
-   * next renewal; else it was of an earlier life of this agent, and the task gets a newer run.
+   * Handles the answer that a run with the same or a higher number has stopped or ended there. If it was this
+   * run, its end is listed with the next renewal; if it was a run of an earlier executor incarnation, the
+   * task gets a higher run number.
    */
   private settleSuperseded(task: LocalTask): boolean {
     const next = this.runs.take(task.key);
@@ -111,18 +118,18 @@
     return false;
   }
 
-  /** Waits until a renewal that is sent from now on has been answered. */
+  /** Waits until a renewal sent from now on has been answered. */
   private async waitForRenewal(): Promise<void> {
     const since = this.clock.now();
     while (!this.host.isOver() && this.host.isReachable() && this.calls.renewedAt <= since)
       await this.clock.sleep(REPEAT_PAUSE_MS);
   }
 
-  /** Repeats a stop until its end is listed; an upstream that answers nothing is asked again once it answers. */
+  /** Repeats a stop until the end of the run is listed; waits while the upstream is unresponsive. */
   async stop(task: LocalTask): Promise<void> {
     while (task.phase === 'stopping' && !this.host.isOver()) {
       if (!this.calls.isAnswering) {
-        await this.clock.sleep(ANSWER_LOOK_MS);
+        await this.clock.sleep(ANSWER_POLL_MS);
         continue;
       }
       try {
@@ -132,15 +139,15 @@
       } catch (error) {
         this.host.log('stop-unanswered', { task: task.key, run: task.run, error: String(error) });
       }
-      await this.clock.sleep(task.stopAcceptedAt === undefined ? REPEAT_PAUSE_MS : STOP_PAUSE_MS);
+      await this.clock.sleep(task.stopAcceptedAt === undefined ? REPEAT_PAUSE_MS : STOP_REPEAT_PAUSE_MS);
     }
   }
 
-  /** A run of an earlier life of this agent: nobody waits for it, and it takes room nobody knows. */
+  /** Stops a run that an earlier incarnation of this executor has started, to free its capacity. */
   stopUnknown(name: RunName): void {
     this.host.log('stop-unknown', { job: name.job, index: name.index, run: name.run });
     this.calls.stop(name).catch((error: unknown) => {
-      // The next renewal lists the run again if it is still there.
+      // If the run is still there, the next renewal lists it again.
       this.host.log('stop-unanswered', { job: name.job, run: name.run, error: String(error) });
     });
   }
--- a/src/process/executor/SpeedMeter.test.ts
+++ b/src/process/executor/SpeedMeter.test.ts
@@ -3,13 +3,13 @@
 import { createSpeedMeter } from './SpeedMeter.js';
 import type { SpeedMeter } from './SpeedMeter.js';
 
-/** Between two looks at what runs, as renewals bring it, ms. */
-const LOOK_MS = 50;
+/** Interval between two samples, ms; about that of renewals. */
+const SAMPLE_MS = 50;
 const ESTIMATE_MS = 1_000;
-/** Part of the typical speed below which dispatchers leave an upstream alone. */
+/** Ratio to the typical speed below which dispatchers avoid an upstream. */
 const SLOW = 0.4;
 
-/** Tasks at one upstream, looked at as a session does. */
+/** Simulated tasks at one upstream, sampled as by a session. */
 class Load {
   speed = 1;
   private now = 0;
@@ -22,29 +22,29 @@
     return this.meter.read(this.now);
   }
 
-  /** Begins a task that takes so many times its estimate. */
+  /** Starts a task whose duration is a multiple of its estimate. */
   begin(factor = 1): void {
     this.started += 1;
     this.progress.set(String(this.started), { percent: 0, factor });
   }
 
-  advance(ms: number, look?: (value: number) => void): void {
+  advance(ms: number, onSample?: (value: number) => void): void {
     for (const until = this.now + ms; this.now < until;) {
-      this.now += LOOK_MS;
+      this.now += SAMPLE_MS;
       for (const [key, task] of [...this.progress]) this.work(key, task);
-      look?.(this.value);
+      onSample?.(this.value);
     }
   }
 
   private work(key: string, task: { percent: number; factor: number }): void {
-    const done = (this.speed * LOOK_MS) / (ESTIMATE_MS * task.factor);
+    const done = (this.speed * SAMPLE_MS) / (ESTIMATE_MS * task.factor);
     const before = Math.floor(task.percent * 100) / 100;
     task.percent = Math.min(1, task.percent + done);
     const share = Math.floor(task.percent * 100) / 100 - before;
-    this.meter.note({ key, share, estimateMs: ESTIMATE_MS, elapsedMs: LOOK_MS }, this.now);
+    this.meter.record({ key, share, estimateMs: ESTIMATE_MS, elapsedMs: SAMPLE_MS }, this.now);
     if (task.percent < 1) return;
     this.progress.delete(key);
-    this.meter.noteEnd(key, true, this.now);
+    this.meter.recordEnd(key, true, this.now);
     this.begin();
   }
 }
@@ -57,17 +57,17 @@
       load = new Load(createSpeedMeter('median', 0));
     });
 
-    it('is not moved by one task that takes seven times its estimate', () => {
+    it('is not affected by one task that takes seven times its estimate', () => {
       for (let task = 0; task < 3; task += 1) load.begin();
       load.advance(1_500);
       load.begin(7);
       load.advance(6_000, (value) => expect(value).to.be.within(0.8, 1.2));
     });
 
-    it('is not moved by such a task that runs by itself after others', () => {
+    it('is not affected by such a task that runs alone after others', () => {
       for (let at = 0; at < 3; at += 1) {
-        load.meter.note({ key: `e${at}`, share: 1, estimateMs: 100, elapsedMs: 100 }, 0);
-        load.meter.noteEnd(`e${at}`, true, 0);
+        load.meter.record({ key: `e${at}`, share: 1, estimateMs: 100, elapsedMs: 100 }, 0);
+        load.meter.recordEnd(`e${at}`, true, 0);
       }
       load.begin(7);
       load.advance(5_000, (value) => expect(value).to.be.within(0.8, 1.2));
@@ -75,9 +75,9 @@
 
     for (const [name, speed] of [
       ['turns six times slower', 1 / 6],
-      ['stands still', 0],
+      ['stalls', 0],
     ] as const) {
-      it(`sees within half a second that the upstream ${name}`, () => {
+      it(`detects within half a second that the upstream ${name}`, () => {
         for (let task = 0; task < 4; task += 1) load.begin();
         load.advance(1_300);
         load.speed = speed;
@@ -89,7 +89,7 @@
       });
     }
 
-    it('sees that an upstream stands still whose only task does', () => {
+    it('detects that an upstream is stalled if its only task is', () => {
       load.begin();
       load.advance(1_300);
       load.speed = 0;
@@ -97,16 +97,16 @@
       expect(load.value).to.be.below(0.05);
     });
 
-    it('takes an upstream that has been idle for an ordinary one', () => {
-      load.meter.note({ key: 'a', share: 1, estimateMs: 30, elapsedMs: 100 }, 0);
-      load.meter.noteEnd('a', true, 0);
+    it('returns to 1 while the upstream is idle', () => {
+      load.meter.record({ key: 'a', share: 1, estimateMs: 30, elapsedMs: 100 }, 0);
+      load.meter.recordEnd('a', true, 0);
       expect(load.meter.read(100)).to.be.closeTo(0.3, 0.01);
       expect(load.meter.read(5_000)).to.equal(1);
     });
   });
 
   describe('by the mean', () => {
-    it('is slow while most of what runs takes longer than its estimate', () => {
+    it('is low while most tasks take longer than their estimates', () => {
       load = new Load(createSpeedMeter('mean', 0));
       load.begin(7);
       load.begin(7);
--- a/src/process/executor/SpeedMeter.ts
+++ b/src/process/executor/SpeedMeter.ts
@@ -1,36 +1,36 @@
-/** Measures how fast an upstream works, against the callers' estimates, from the progress of its tasks. */
+/** Measures the speed of an upstream, relative to the callers' estimates, from the progress of its tasks. */
 import type { SpeedMeasureKind } from '../settings/dispatchSettings.js';
 
-/** Time over which earlier observations fade, ms. */
-const FADE_MS = 600;
-/** Run time that must be observed before the figure counts, ms. */
+/** Time constant of the exponential decay of observations, ms. */
+const DECAY_MS = 600;
+/** Run time that must be observed before the speed is valid, ms. */
 const MIN_OBSERVED_MS = 40;
-/** Time after which an idle upstream is taken for an ordinary one again, ms. */
-const FORGET_MS = 3_000;
+/** Time in which the speed of an idle upstream returns to 1, ms. */
+const IDLE_RESET_MS = 3_000;
 
-/** Progress of one task since it was last looked at. */
+/** Progress of one task since the previous sample. */
 export interface ProgressSample {
-  /** Names the task. */
+  /** Key of the task. */
   readonly key: string;
-  /** Part of the task's work, 0 to 1. */
+  /** Fraction of the task's work, 0 to 1. */
   readonly share: number;
-  /** The caller's estimate of the whole task, ms. */
+  /** Caller's estimate of the duration of the whole task, ms. */
   readonly estimateMs: number;
-  /** Run time it took, ms. */
+  /** Elapsed run time, ms. */
   readonly elapsedMs: number;
 }
 
-/** A way to measure the speed of one upstream. */
+/** Speed measure of one upstream. */
 export abstract class SpeedMeter {
-  /** Notes that a task has made some progress, or none. */
-  abstract note(sample: ProgressSample, now: number): void;
-  /** Notes that a task does not run any more. */
-  abstract noteEnd(key: string, isDone: boolean, now: number): void;
-  /** Work in ms of estimates done in one ms of run time. */
+  /** Records the progress of a task, which may be none. */
+  abstract record(sample: ProgressSample, now: number): void;
+  /** Records that a task has ended. */
+  abstract recordEnd(key: string, isDone: boolean, now: number): void;
+  /** Returns the speed: estimated work done per run time; 1 if tasks take as long as estimated. */
   abstract read(now: number): number;
 }
 
-/** All work of late by all run time of late. */
+/** Recent work of all tasks divided by their recent run time. */
 export class MeanSpeedMeter extends SpeedMeter {
   private workMs = 0;
   private timeMs = 0;
@@ -42,44 +42,44 @@
     this.updatedAt = now;
   }
 
-  override note({ share, estimateMs, elapsedMs }: ProgressSample, now: number): void {
-    this.fade(now);
+  override record({ share, estimateMs, elapsedMs }: ProgressSample, now: number): void {
+    this.decay(now);
     this.workMs += share * estimateMs;
     this.timeMs += elapsedMs;
     if (this.timeMs >= MIN_OBSERVED_MS) this.value = this.workMs / this.timeMs;
   }
 
-  override noteEnd(): void {
-    // What a task has done counts beyond its end.
+  override recordEnd(): void {
+    // Work done still counts after the end of a task.
   }
 
   override read(now: number): number {
     return adjustIdle(this.value, now - this.updatedAt);
   }
 
-  private fade(now: number): void {
-    const factor = Math.exp(-(now - this.updatedAt) / FADE_MS);
+  private decay(now: number): void {
+    const factor = Math.exp(-(now - this.updatedAt) / DECAY_MS);
     this.workMs *= factor;
     this.timeMs *= factor;
     this.updatedAt = now;
   }
 }
 
-/** Time over which the earlier progress of a running task fades, ms: a slower upstream is seen within twice that. */
-const TASK_FADE_MS = 200;
+/** Time constant of the exponential decay of a running task's progress, ms. */
+const TASK_DECAY_MS = 200;
 /**
- * Run time from which on a running task counts, as a part of its estimate: progress is told in whole percents. Short tasks
- * count early, as those that are still at work late are the slow ones of them.
+ * Run time from which a running task counts, as a fraction of its estimate, as progress is reported in whole
+ * percent. Later samples would be biased: the short tasks that still run then are the slow ones.
  */
-const MIN_TASK_PART = 0.15;
-/** Age up to which tasks that have ended count beside those that run, ms. */
-const FRESH_MS = 400;
-/** Least tasks that the median is taken of; the newest of those that ended earlier make up for what is missing. */
+const MIN_TASK_SHARE = 0.15;
+/** Age up to which ended tasks count in addition to running ones, ms. */
+const RECENT_MS = 400;
+/** Minimum number of tasks for the median; if there are fewer, older ended tasks are included. */
 const MIN_TASKS = 3;
-/** Ended tasks that are kept; more than end in `FRESH_MS` change little. */
+/** Maximum number of ended tasks that are kept. */
 const MAX_ENDED = 16;
-/** Speed below which a task makes no progress. */
-const STANDSTILL_SPEED = 0.05;
+/** Speed below which a task counts as stalled. */
+const STALLED_SPEED = 0.05;
 
 interface RunningTask {
   readonly estimateMs: number;
@@ -89,13 +89,10 @@
   totalMs: number;
 }
 
-/**
- * The median of the speeds of tasks of late, each of which counts once: one task that takes far longer than its estimate
- * does not make its upstream slow.
- */
+/** Median of the speeds of recent tasks; a single task that far exceeds its estimate has little effect. */
 export class MedianSpeedMeter extends SpeedMeter {
   private readonly running = new Map<string, RunningTask>();
-  /** Newest last. */
+  /** Speeds of ended tasks, newest last. */
   private readonly ended: { readonly speed: number; readonly at: number }[] = [];
   private updatedAt: number;
 
@@ -104,18 +101,18 @@
     this.updatedAt = now;
   }
 
-  override note({ key, share, estimateMs, elapsedMs }: ProgressSample, now: number): void {
+  override record({ key, share, estimateMs, elapsedMs }: ProgressSample, now: number): void {
     this.updatedAt = now;
     const task = this.running.get(key) ?? { estimateMs, workMs: 0, timeMs: 0, totalWorkMs: 0, totalMs: 0 };
     this.running.set(key, task);
-    const factor = Math.exp(-elapsedMs / TASK_FADE_MS);
+    const factor = Math.exp(-elapsedMs / TASK_DECAY_MS);
     task.workMs = task.workMs * factor + share * estimateMs;
     task.timeMs = task.timeMs * factor + elapsedMs;
     task.totalWorkMs += share * estimateMs;
     task.totalMs += elapsedMs;
   }
 
-  override noteEnd(key: string, isDone: boolean, now: number): void {
+  override recordEnd(key: string, isDone: boolean, now: number): void {
     const task = this.running.get(key);
     this.running.delete(key);
     if (!task || !isDone || task.totalMs === 0) return;
@@ -125,10 +122,10 @@
 
   override read(now: number): number {
     const speeds = this.listRunning();
-    if (speeds.length > 0 && speeds.every((speed) => speed < STANDSTILL_SPEED)) return Math.max(...speeds);
+    if (speeds.length > 0 && speeds.every((speed) => speed < STALLED_SPEED)) return Math.max(...speeds);
     for (let at = this.ended.length - 1; at >= 0; at -= 1) {
       const one = this.ended[at];
-      if (!one || (now - one.at > FRESH_MS && speeds.length >= MIN_TASKS)) break;
+      if (!one || (now - one.at > RECENT_MS && speeds.length >= MIN_TASKS)) break;
       speeds.push(one.speed);
     }
     if (speeds.length === 0) return 1;
@@ -141,25 +138,25 @@
   private listRunning(): number[] {
     const speeds: number[] = [];
     for (const { workMs, timeMs, totalMs, estimateMs } of this.running.values())
-      if (totalMs >= Math.max(MIN_OBSERVED_MS, estimateMs * MIN_TASK_PART)) speeds.push(workMs / timeMs);
+      if (totalMs >= Math.max(MIN_OBSERVED_MS, estimateMs * MIN_TASK_SHARE)) speeds.push(workMs / timeMs);
     return speeds;
   }
 }
 
 /**
- * Creates the meter that the settings name.
+ * Creates the speed meter selected in the settings.
  *
- * @param kind - of the measure
+ * @param kind - kind of the measure
  * @param now - monotonic time, ms
- * @returns a meter that takes the upstream for an ordinary one
+ * @returns a meter with an initial speed of 1
  */
 export function createSpeedMeter(kind: SpeedMeasureKind, now: number): SpeedMeter {
   return kind === 'median' ? new MedianSpeedMeter(now) : new MeanSpeedMeter(now);
 }
 
-/** Speed after so long without work: an upstream that has been idle for long is taken for an ordinary one again. */
+/** Adjusts the speed of an idle upstream, which gradually returns to 1. */
 function adjustIdle(speed: number, idleMs: number): number {
-  if (idleMs <= FADE_MS) return speed;
-  const kept = Math.max(0, 1 - (idleMs - FADE_MS) / FORGET_MS);
+  if (idleMs <= DECAY_MS) return speed;
+  const kept = Math.max(0, 1 - (idleMs - DECAY_MS) / IDLE_RESET_MS);
   return 1 + (speed - 1) * kept;
 }
--- a/src/process/executor/UpstreamCalls.ts
+++ b/src/process/executor/UpstreamCalls.ts
@@ -1,6 +1,7 @@
 /**
- * Calls to one life of one upstream. Each carries the lease and the fencing token, is waited for as long as answers
- * take, and its answer, or the absence of one, tells something of the upstream.
+ * Calls to one incarnation of one upstream. Each carries the lease and the fencing token, and has a timeout
+ * based on recent round-trip times. Answers and timeouts update the clock estimate and the responsiveness of
+ * the upstream.
  */
 import type { Clock } from '../../_lib/Clock.js';
 import type {
@@ -11,50 +12,51 @@
   UpstreamApi,
 } from '../../ports/UpstreamApi.js';
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
-import { AnswerWatch } from './AnswerWatch.js';
+import { AnswerMonitor } from './AnswerMonitor.js';
 import type { FencingTokens } from './FencingTokens.js';
 import { UpstreamLease } from './UpstreamLease.js';
 
-/** How long the upstream may hold a renewal while nothing ends, ms; a part of the lease at most. */
+/** Time for which the upstream may hold a renewal until a run ends (long polling), ms. */
 const RENEWAL_WAIT_MS = 150;
-const RENEWAL_LEASE_PART = 0.25;
-/** The same while answers are being lost, so that ends are heard soon, ms. */
+/** The same as a fraction of the lease; the shorter time applies. */
+const RENEWAL_LEASE_SHARE = 0.25;
+/** The same while answers are being lost, so that ends are received soon, ms. */
 const SHORT_RENEWAL_WAIT_MS = 30;
 
-/** Leases that calls give, ms. */
+/** Lease durations, ms. */
 export interface LeaseBounds {
-  /** How far ahead. */
+  /** Duration of a lease. */
   readonly leaseMs: number;
-  /** The longest that an upstream grants. */
+  /** Longest lease that an upstream grants. */
   readonly maxLeaseMs: number;
 }
 
-/** What calls tell their session. */
+/** Callbacks to the session. */
 export interface CallEvents {
-  /** The upstream begins or ceases to answer. */
+  /** Called when the upstream starts or stops answering. */
   readonly changeAnswers: (answers: boolean) => void;
-  /** A newer holder was met. */
+  /** Called when the fencing token was raised, as the upstream has accepted a higher one. */
   readonly raiseToken: (from: number, to: number) => void;
 }
 
 /** Calls to one upstream. */
 export class UpstreamCalls {
   private readonly lease: UpstreamLease;
-  private readonly answers: AnswerWatch;
+  private readonly monitor: AnswerMonitor;
   private fencingToken: number;
-  /** When the newest answered renewal was sent; at first, when the upstream was found. */
+  /** When the newest answered renewal was sent; initially, when the upstream was found. */
   private renewalSentAt: number;
 
   /**
-   * @param executor - the way to the upstream
-   * @param report - the first that is known of the life
-   * @param bounds - of leases
-   * @param clock - of this process
-   * @param tokens - of this process
-   * @param events - what to tell
+   * @param api - client of the upstream's API
+   * @param report - first report of the incarnation
+   * @param bounds - lease durations
+   * @param clock - clock of this process
+   * @param tokens - fencing tokens of this process
+   * @param events - callbacks to the session
    */
   constructor(
-    private readonly executor: UpstreamApi,
+    private readonly api: UpstreamApi,
     report: Pick<UpstreamReport, 'clockMs' | 'bornAt'>,
     private readonly bounds: LeaseBounds,
     private readonly clock: Clock,
@@ -64,17 +66,17 @@
     const now = clock.now();
     const effectiveMs = report.bornAt === undefined ? bounds.leaseMs : bounds.maxLeaseMs;
     this.lease = new UpstreamLease(report.clockMs, clock.readSteady(), bounds.leaseMs, effectiveMs);
-    this.answers = new AnswerWatch(now);
+    this.monitor = new AnswerMonitor(now);
     this.renewalSentAt = now;
     this.fencingToken = tokens.take();
   }
 
   /** Whether the upstream answers. */
   get isAnswering(): boolean {
-    return this.answers.isAnswering;
+    return this.monitor.isAnswering;
   }
 
-  /** Whether every lease that was given is over since so many ms, so that nothing runs at the upstream any more. */
+  /** Whether all leases expired at least `ms` ago, so that nothing can run at the upstream any more. */
   hasLapsedFor(ms: number): boolean {
     return this.clock.readSteady() > this.lease.aliveUntil + ms;
   }
@@ -84,31 +86,31 @@
     return this.renewalSentAt;
   }
 
-  /** The fencing token of the calls. */
+  /** Current fencing token. */
   get token(): number {
     return this.fencingToken;
   }
 
-  /** Sends a start. Rejects when no answer came in time. */
+  /** Sends a start. Rejects on a timeout. */
   async start(name: RunName, spec: string): Promise<StartVerdict> {
     const sentAt = this.clock.now();
     const leaseUntilMs = this.lease.extend(this.clock.readSteady());
     const order = { name, spec, leaseUntilMs, fencingToken: this.fencingToken };
-    return this.watch(sentAt, () => this.executor.start(order, this.answers.timeoutMs));
+    return this.watch(sentAt, () => this.api.start(order, this.monitor.timeoutMs));
   }
 
-  /** Sends a stop. Rejects when no answer came in time. */
+  /** Sends a stop. Rejects on a timeout. */
   async stop(name: RunName): Promise<StopVerdict> {
     const sentAt = this.clock.now();
-    return this.watch(sentAt, () => this.executor.stop(name, this.fencingToken, this.answers.timeoutMs));
+    return this.watch(sentAt, () => this.api.stop(name, this.fencingToken, this.monitor.timeoutMs));
   }
 
   /**
-   * Renews the lease while answers come. Without an answer for a whole lease nothing is prolonged any more, so that
-   * what runs there ends at a known time. Rejects when no answer came in time.
+   * Renews the lease. If no renewal has been answered for the duration of a lease, it is no longer extended,
+   * so that all runs end at a known time. Rejects on a timeout.
    *
-   * @param lastSequence - ends up to here have been noted for good
-   * @param mayWait - whether the upstream may wait for an end
+   * @param lastSequence - sequence number up to which ends have been applied
+   * @param mayWait - whether the upstream may hold the renewal until a run ends
    */
   async renew(lastSequence: number, mayWait: boolean): Promise<LeaseAnswer> {
     const sentAt = this.clock.now();
@@ -117,7 +119,7 @@
     const leaseUntilMs = mayExtend ? this.lease.extend(this.clock.readSteady()) : undefined;
     const renewal = { leaseUntilMs, fencingToken: this.fencingToken, lastSequence, waitMs };
     try {
-      const answer = await this.executor.renew(renewal, waitMs + this.answers.timeoutMs);
+      const answer = await this.api.renew(renewal, waitMs + this.monitor.timeoutMs);
       this.handleRenewal(answer, sentAt, waitMs);
       if (answer.verdict === 'fenced') this.raise(renewal.fencingToken);
       return answer;
@@ -127,24 +129,27 @@
     }
   }
 
-  /** Calls that were meant for another life may have reached this one until now. */
+  /** Accounts for calls intended for another incarnation that may have reached this one until now. */
   handleForeignWriter(): void {
     this.lease.handleForeignWriter(this.clock.readSteady());
   }
 
-  /** Has the upstream refuse, from the next call on that it takes, what was sent until now and may still be on its way. */
+  /**
+   * Raises the fencing token, so that the upstream refuses earlier calls in flight once it has accepted a new
+   * one.
+   */
   fenceOff(): void {
     this.fencingToken = this.tokens.take();
   }
 
   /** Closes the connections. */
   close(): void {
-    this.executor.close();
+    this.api.close();
   }
 
   private findRenewalWait(now: number): number {
-    const longestMs = this.answers.isLossy(now) ? SHORT_RENEWAL_WAIT_MS : RENEWAL_WAIT_MS;
-    return Math.floor(Math.min(longestMs, this.bounds.leaseMs * RENEWAL_LEASE_PART));
+    const longestMs = this.monitor.isLossy(now) ? SHORT_RENEWAL_WAIT_MS : RENEWAL_WAIT_MS;
+    return Math.floor(Math.min(longestMs, this.bounds.leaseMs * RENEWAL_LEASE_SHARE));
   }
 
   private async watch<Verdict extends string>(
@@ -170,26 +175,29 @@
     this.handleAnswer(sentAt, clockMs, waitMs === 0);
   }
 
-  /** An earlier process on this VM took a higher token; of several calls that are refused the first one raises ours. */
+  /**
+   * Raises the token above a refused one, once for several refused calls: an earlier process has used a
+   * higher one.
+   */
   private raise(from: number): void {
     if (from < this.fencingToken) return;
     this.fencingToken = this.tokens.takeAbove(from);
     this.events.raiseToken(from, this.fencingToken);
   }
 
-  private handleAnswer(sentAt: number, clockMs: number | undefined, wasAtOnce: boolean): void {
+  private handleAnswer(sentAt: number, clockMs: number | undefined, wasImmediate: boolean): void {
     const now = this.clock.now();
     if (clockMs !== undefined) this.lease.recordClock(clockMs, this.clock.readSteady());
-    this.reportChange(() => this.answers.noteAnswer(now, wasAtOnce ? now - sentAt : undefined));
+    this.recordAndReport(() => this.monitor.recordAnswer(now, wasImmediate ? now - sentAt : undefined));
   }
 
   private handleTimeout(sentAt: number): void {
-    this.reportChange(() => this.answers.noteUnanswered(sentAt, this.clock.now()));
+    this.recordAndReport(() => this.monitor.recordTimeout(sentAt, this.clock.now()));
   }
 
-  private reportChange(note: () => void): void {
+  private recordAndReport(record: () => void): void {
     const before = this.isAnswering;
-    note();
+    record();
     if (this.isAnswering !== before) this.events.changeAnswers(this.isAnswering);
   }
 }
--- a/src/process/executor/UpstreamIncarnations.test.ts
+++ b/src/process/executor/UpstreamIncarnations.test.ts
@@ -15,29 +15,29 @@
 import type { UpstreamSession } from './UpstreamSession.js';
 
 const BORN_MS = 1_700_000_000_000;
-/** Clock of the first life, and of the next: it begins anew. */
+/** Initial clocks of the first and the next incarnation, ms; the clock restarts with each. */
 const FIRST_CLOCK_MS = 500_000;
 const NEXT_CLOCK_MS = 20;
 
 const ORDER = buildStartOrder(0);
 
-describe('UpstreamLives', () => {
+describe('UpstreamIncarnations', () => {
   let clock: FakeClock;
   let upstream: FakeUpstream;
-  let lives: UpstreamIncarnations;
+  let incarnations: UpstreamIncarnations;
   let ends: string[];
   let joined: string[];
-  let passedOver: unknown[];
+  let skipped: unknown[];
 
   function buildReport(bornAt: number | undefined, sequence: number): UpstreamReport {
     return buildUpstreamReport({ bornAt, sequence, clockMs: upstream.clockMs });
   }
 
   function findOpen(): UpstreamSession | undefined {
-    return lives.list().find(({ state }) => state !== 'absent');
+    return incarnations.list().find(({ state }) => state !== 'absent');
   }
 
-  /** The upstream starts again under its id and address, and knows nothing of before. */
+  /** Restarts the upstream with the same id and address, without its earlier state. */
   function restart(): void {
     upstream.running.clear();
     upstream.isOver = true;
@@ -51,73 +51,73 @@
   async function advance(ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += 20) {
       await clock.advance(20);
-      lives.tick(clock.now());
+      incarnations.tick(clock.now());
     }
   }
 
   beforeEach(async () => {
     clock = new FakeClock();
-    const nobody = new FakeUpstream(clock);
-    nobody.silent = true;
+    const unresponsive = new FakeUpstream(clock);
+    unresponsive.silent = true;
     upstream = new FakeUpstream(clock, FIRST_CLOCK_MS);
     upstream.bornAt = BORN_MS;
     ends = [];
     joined = [];
-    passedOver = [];
+    skipped = [];
     const tokens = new FencingTokens(1_000_000, clock);
-    lives = new UpstreamIncarnations(
+    incarnations = new UpstreamIncarnations(
       clock,
       tokens,
       { leaseMs: 500, maxLeaseMs: 1_000, stopMs: 50 },
       {
         openApi: ({ address }) =>
-          new AddressUpstreamApi(() => (address === UPSTREAM_ADDRESS ? upstream : nobody)),
+          new AddressUpstreamApi(() => (address === UPSTREAM_ADDRESS ? upstream : unresponsive)),
         handleJoined: ({ bornAt }) => void joined.push(String((bornAt ?? 0) - BORN_MS)),
         finish: (task, end) => void ends.push(`${task.order.name.index} ${end}`),
         change: () => undefined,
         changeCapacity: () => undefined,
         revalidate: () => undefined,
-        log: (event, { reason }) => void (event === 'report-passed-over' && passedOver.push(reason)),
+        log: (event, { reason }) => void (event === 'report-passed-over' && skipped.push(reason)),
       },
     );
-    lives.handleReport(buildReport(BORN_MS, 40));
+    incarnations.handleReport(buildReport(BORN_MS, 40));
     await advance(60);
   });
 
   afterEach(() => {
-    for (const session of lives.list()) session.close('test ends');
+    for (const session of incarnations.list()) session.close('test ends');
   });
 
-  it('take the word of a next life that it leaves, though its numbers begin anew', async () => {
+  it('accept a report of the next incarnation that it drains, although its sequence numbers restart', async () => {
     restart();
-    lives.handleReport(buildReport(upstream.bornAt, 1));
+    incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
     expect(findOpen()?.state).to.equal('ready');
-    lives.handleReport({ ...buildReport(upstream.bornAt, 2), isDraining: true });
+    incarnations.handleReport({ ...buildReport(upstream.bornAt, 2), isDraining: true });
     expect(findOpen()?.state).to.equal('draining');
     findOpen()?.offer(ORDER, 'entry');
     await advance(100);
     expect(upstream.starts).to.equal(0);
   });
 
-  it('take ends of a next life, though their numbers begin anew', async () => {
+  it('apply ends listed by the next incarnation, although their sequence numbers restart', async () => {
     for (let index = 0; index < 3; index += 1) {
       findOpen()?.offer(buildStartOrder(index), 'entry');
     }
     await advance(300);
     restart();
-    lives.handleReport(buildReport(upstream.bornAt, 1));
+    incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
     findOpen()?.offer(buildStartOrder(3), 'entry');
     await advance(300);
     expect(ends).to.deep.equal(['0 done', '1 done', '2 done', '3 done']);
   });
 
-  it('find a next life by its answer, and give it no work until it has said what it has', async () => {
+  it('find the next incarnation by its answer, and give it no work until it reports its capacity', async () => {
     restart();
     await advance(700);
     expect(findOpen()?.state).to.equal('joining');
-    lives.handleReport({
+    incarnations.handleReport({
       ...buildReport(upstream.bornAt, 1),
       capacity: { ...UPSTREAM_CAPACITY, cpuMilli: 500 },
     });
@@ -125,14 +125,14 @@
     expect(joined).to.deep.equal(['0', '1000']);
   });
 
-  it('tell that a task is lost only once a next life, which its start has reached, runs it no more', async () => {
+  it('finish a task as lost only once the next incarnation, which its start has reached, no longer runs it', async () => {
     upstream.taskMs = 5_000;
     restart();
     findOpen()?.offer(ORDER, 'entry');
     await advance(20);
     expect(upstream.running.size).to.equal(1);
     upstream.silent = true;
-    lives.handleReport(buildReport(upstream.bornAt, 1));
+    incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await advance(100);
     expect(ends).to.deep.equal([]);
     upstream.silent = false;
@@ -141,96 +141,96 @@
     expect(upstream.running.size).to.equal(0);
   });
 
-  it('have a next life take work only once a call that was sent since has found nothing of the earlier one', async () => {
+  it('give the next incarnation work only once a later call shows that it runs nothing of the earlier one', async () => {
     upstream.taskMs = 5_000;
     findOpen()?.offer(ORDER, 'entry');
     await advance(60);
     restart();
-    lives.handleReport(buildReport(upstream.bornAt, 1));
+    incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await clock.advance(1);
-    const next = lives.list().find(({ bornAt }) => bornAt === upstream.bornAt);
+    const next = incarnations.list().find(({ bornAt }) => bornAt === upstream.bornAt);
     expect([upstream.renewals > 0, next?.state, ends]).to.deep.equal([true, 'joining', []]);
     await advance(60);
     expect([next?.state, ends]).to.deep.equal(['ready', ['0 lost']]);
   });
 
-  it('have a next life take calls though it has taken one with the token of the earlier life', async () => {
+  it('raise the token above that of the earlier incarnation, which the next one has already accepted', async () => {
     restart();
     await advance(700);
     expect(upstream.token).to.be.greaterThan(NEXT_CLOCK_MS + 1_000);
-    lives.handleReport(buildReport(upstream.bornAt, 1));
+    incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
     findOpen()?.offer(ORDER, 'entry');
     await advance(200);
     expect(ends).to.deep.equal(['0 done']);
   });
 
-  it('end what an earlier life ran when the next one is not to be reached either', async () => {
+  it('finish the tasks of an earlier incarnation if the next one is unreachable as well', async () => {
     upstream.taskMs = 5_000;
     findOpen()?.offer(ORDER, 'entry');
     await advance(60);
     restart();
     upstream.silent = true;
-    lives.handleReport(buildReport(upstream.bornAt, 1));
+    incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await advance(3_000);
     expect(ends).to.deep.equal(['0 lost']);
   });
 
-  it('pass over reports of an earlier life, and those that name none', async () => {
+  it('skip reports of an earlier incarnation, and those without a start time', async () => {
     restart();
-    lives.handleReport(buildReport(upstream.bornAt, 1));
+    incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
-    lives.handleReport({ ...buildReport(BORN_MS, 99), isDraining: true });
-    lives.handleReport({ ...buildReport(undefined, 99), isDraining: true });
-    lives.handleReport({ ...buildReport(upstream.bornAt, 99), address: '127.0.0.1:9' });
-    lives.handleReport({ ...buildReport(upstream.bornAt, 99), service: 'other' });
-    const place = 'of another place';
-    expect(passedOver).to.deep.equal(['of an earlier life', 'of an earlier life', place, place]);
+    incarnations.handleReport({ ...buildReport(BORN_MS, 99), isDraining: true });
+    incarnations.handleReport({ ...buildReport(undefined, 99), isDraining: true });
+    incarnations.handleReport({ ...buildReport(upstream.bornAt, 99), address: '127.0.0.1:9' });
+    incarnations.handleReport({ ...buildReport(upstream.bornAt, 99), service: 'other' });
+    const elsewhere = 'of another place';
+    expect(skipped).to.deep.equal(['of an earlier life', 'of an earlier life', elsewhere, elsewhere]);
     expect(findOpen()?.state).to.equal('ready');
   });
 
-  it('go on with the life that answers when a later one is reported that does not', async () => {
+  it('continue with the answering incarnation if a later one is reported that does not answer', async () => {
     findOpen()?.offer({ ...ORDER, estimateMs: 300 }, 'entry');
     await advance(40);
-    lives.handleReport({ ...buildReport(BORN_MS + 5_000, 1), address: '127.0.0.1:9' });
+    incarnations.handleReport({ ...buildReport(BORN_MS + 5_000, 1), address: '127.0.0.1:9' });
     await advance(40);
-    lives.handleReport({ ...buildReport(BORN_MS, 41), isDraining: true });
+    incarnations.handleReport({ ...buildReport(BORN_MS, 41), isDraining: true });
     expect(findOpen()?.bornAt).to.equal(BORN_MS);
     expect(findOpen()?.state).to.equal('draining');
     await advance(300);
     expect(ends).to.deep.equal(['0 done']);
-    expect(lives.list().map(({ bornAt }) => bornAt)).to.deep.equal([BORN_MS]);
+    expect(incarnations.list().map(({ bornAt }) => bornAt)).to.deep.equal([BORN_MS]);
   });
 
-  it('take the place that a life reports for that of a report which it has never answered', async () => {
+  it('use the address that an incarnation reports instead of an earlier one that never answered', async () => {
     restart();
-    lives.handleReport({ ...buildReport(upstream.bornAt, 1), address: '127.0.0.1:9' });
-    lives.handleReport(buildReport(upstream.bornAt, 2));
+    incarnations.handleReport({ ...buildReport(upstream.bornAt, 1), address: '127.0.0.1:9' });
+    incarnations.handleReport(buildReport(upstream.bornAt, 2));
     await advance(60);
     expect(findOpen()?.newestReport.address).to.equal(UPSTREAM_ADDRESS);
     expect(findOpen()?.state).to.equal('ready');
   });
 
-  it('end with the word of their own life only', async () => {
+  it('end only when their own incarnation leaves', async () => {
     restart();
-    lives.handleReport(buildReport(upstream.bornAt, 1));
+    incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
-    lives.handleLeave('u1', BORN_MS);
-    lives.handleLeave('u2', undefined);
+    incarnations.handleLeave('u1', BORN_MS);
+    incarnations.handleLeave('u2', undefined);
     expect(findOpen()?.state).to.equal('ready');
-    lives.handleLeave('u1', upstream.bornAt);
+    incarnations.handleLeave('u1', upstream.bornAt);
     expect(findOpen()).to.equal(undefined);
   });
 
-  it('know lives by their ids where they tell no start', async () => {
-    lives.handleLeave('u1', undefined);
+  it('are identified by the id if no start time is reported', async () => {
+    incarnations.handleLeave('u1', undefined);
     restart();
     upstream.bornAt = undefined;
-    lives.handleReport(buildReport(undefined, 5));
+    incarnations.handleReport(buildReport(undefined, 5));
     await advance(60);
-    lives.handleReport({ ...buildReport(undefined, 4), isDraining: true });
+    incarnations.handleReport({ ...buildReport(undefined, 4), isDraining: true });
     expect(findOpen()?.state).to.equal('ready');
-    lives.handleReport({ ...buildReport(undefined, 6), isDraining: true });
+    incarnations.handleReport({ ...buildReport(undefined, 6), isDraining: true });
     expect(findOpen()?.state).to.equal('draining');
   });
 });
