--- a/src/process/executor/UpstreamIncarnations.ts
+++ b/src/process/executor/UpstreamIncarnations.ts
@@ -1,13 +1,14 @@
 /**
- * The lives of the upstream beside an agent, each with a session of its own, so that nothing that is counted in one life
- * is held against the next.
+ * Incarnations of the upstream beside an executor, each with its own session and state.
  *
- * A life is known by id and start: an upstream may start again under the id that it had. A report opens a session, and
- * may be of another writer, or of an earlier life and held up until now. Which life is there is told by answers only: a
- * session ends when another id answers, and is superseded when another start does.
+ * An incarnation is identified by id and start time, as an upstream may restart with the same id. A report
+ * opens a session, but may come from a foreign writer or be a delayed one of an earlier incarnation. Only
+ * answers to calls show which incarnation is running: a session is closed when another id answers, and
+ * superseded when the start time differs.
  *
- * Orders that are sent before a next life is noticed reach that life. So what a superseded life ran counts as over only
- * once the next one has taken a call with a token that is newer than all of those, and runs nothing unknown.
+ * Orders sent before a restart is detected reach the next incarnation. The tasks of a superseded incarnation
+ * therefore count as ended only once the next one has accepted a call with a newer fencing token and runs
+ * nothing unknown.
  */
 import type { Clock } from '../../_lib/Clock.js';
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
@@ -17,30 +18,30 @@
 import { UpstreamSession } from './UpstreamSession.js';
 import type { SessionBounds, SessionEvents } from './sessionEvents.js';
 
-/** After this time out of reach and without a report an upstream is forgotten, ms. */
+/** Time without a report after which an unreachable upstream is removed, ms. */
 const FORGET_UPSTREAM_MS = 5_000;
-/** Number of a report that a life has not sent itself; each that it sends is higher. */
-const UNREPORTED = -1;
+/** Sequence number of a report that was not sent by the incarnation itself; lower than all that it sends. */
+const UNREPORTED_SEQUENCE = -1;
 
-/** What the lives tell their agent; the rest is for the sessions. */
+/** Callbacks to the executor; most are passed on to the sessions. */
 export interface IncarnationEvents extends Omit<SessionEvents, 'join' | 'settle' | 'findOtherLife'> {
   readonly openApi: (report: UpstreamReport) => UpstreamApi;
-  /** A life takes work for the first time. */
+  /** Called when an incarnation first becomes ready for work. */
   readonly handleJoined: (report: UpstreamReport) => void;
 }
 
-/** Sessions with the lives of an upstream. */
+/** Sessions with the incarnations of an upstream. */
 export class UpstreamIncarnations {
-  /** By the name of the life. */
+  /** Sessions by the name of the incarnation. */
   private readonly sessions = new Map<string, UpstreamSession>();
-  /** When each life last reported itself. */
+  /** When each incarnation last sent a report. */
   private readonly reportedAt = new Map<string, number>();
 
   /**
-   * @param clock - of this process
-   * @param tokens - of this process
-   * @param bounds - for the sessions
-   * @param events - what to tell
+   * @param clock - clock of this process
+   * @param tokens - fencing tokens of this process
+   * @param bounds - timeouts of the sessions
+   * @param events - callbacks to the executor
    */
   constructor(
     private readonly clock: Clock,
@@ -49,27 +50,27 @@
     private readonly events: IncarnationEvents,
   ) {}
 
-  /** All sessions that hold something, or may. */
+  /** Lists all sessions that hold tasks or may do so. */
   list(): UpstreamSession[] {
     return [...this.sessions.values()];
   }
 
-  /** Takes a report of any life. */
+  /** Handles a report of any incarnation. */
   handleReport(report: UpstreamReport): void {
     const known = this.sessions.get(buildIncarnationName(report));
     if (!known || known.isClosed) return this.handleNewIncarnation(report);
     if (known.isSuperseded) return this.skipReport(report, 'of an earlier life');
-    if (isSamePlace(report, known)) return this.describe(known, report);
+    if (isSameEndpoint(report, known)) return this.updateDescription(known, report);
     if (known.isDescribed && known.isJoined) return this.skipReport(report, 'of another place');
     known.close('reported-elsewhere');
     this.open(report, true);
   }
 
   /**
-   * An upstream has said that it ends.
+   * Handles the announcement of an upstream that it shuts down.
    *
-   * @param id - of the upstream
-   * @param bornAt - which life; undefined where it does not say
+   * @param id - id of the upstream
+   * @param bornAt - start of its incarnation; undefined if not reported
    */
   handleLeave(id: string, bornAt: number | undefined): void {
     for (const session of this.listIncarnations(id)) {
@@ -78,10 +79,10 @@
     }
   }
 
-  /** Forgets lives that are over; what they held is told to have ended. */
+  /** Removes incarnations that are gone, and finishes their tasks. */
   tick(now: number): void {
     for (const session of this.list()) {
-      session.beginWaiting();
+      session.startWaitingTasks();
       const reportedAt = this.reportedAt.get(session.name) ?? now;
       if (!session.isReachable && now - reportedAt > FORGET_UPSTREAM_MS) session.close('forgotten');
       const isLast = !this.listIncarnations(session.id).some(({ isReachable }) => isReachable);
@@ -90,12 +91,12 @@
     for (const name of this.reportedAt.keys()) if (!this.sessions.has(name)) this.reportedAt.delete(name);
   }
 
-  /** Lives of an upstream that may be there. */
+  /** Lists the incarnations of an upstream that may be running. */
   private listIncarnations(id: string): UpstreamSession[] {
     return this.list().filter((one) => one.id === id && !one.isSuperseded && !one.isClosed);
   }
 
-  /** Takes the report of a life that is not known; one that began before the life that answers is over. */
+  /** Handles the report of an unknown incarnation; one that is older than the answering one is skipped. */
   private handleNewIncarnation(report: UpstreamReport): void {
     const current = this.listIncarnations(report.id).find(({ isJoined }) => isJoined);
     if (current && isEarlier(report, current)) return this.skipReport(report, 'of an earlier life');
@@ -105,10 +106,10 @@
   private open(report: UpstreamReport, isDescribed: boolean): UpstreamSession {
     const name = buildIncarnationName(report);
     const { clock, tokens, bounds } = this;
-    const executor = this.events.openApi(report);
+    const api = this.events.openApi(report);
     const events = this.buildSessionEvents(() => session);
-    const session = new UpstreamSession(report, isDescribed, executor, clock, tokens, bounds, events);
-    // A superseded session of this life ends with what it holds.
+    const session = new UpstreamSession(report, isDescribed, api, clock, tokens, bounds, events);
+    // A superseded session of the same incarnation is closed, which finishes its tasks.
     this.sessions.get(name)?.close('superseded');
     this.sessions.set(name, session);
     this.reportedAt.set(name, clock.now());
@@ -128,23 +129,31 @@
     };
   }
 
-  /** Takes what a life says of itself; one that was found by its answer only may take work from now on. */
-  private describe(session: UpstreamSession, report: UpstreamReport): void {
+  /** Updates the description of an incarnation; one that was found by an answer becomes ready for work. */
+  private updateDescription(session: UpstreamSession, report: UpstreamReport): void {
     this.reportedAt.set(session.name, this.clock.now());
     const wasDescribed = session.isDescribed;
     session.update(report);
     if (!wasDescribed && session.isJoined) this.events.handleJoined(report);
   }
 
-  /** A life other than the one that was meant has answered. What it has is not known before it reports itself. */
-  private handleOtherIncarnation(meant: UpstreamSession, bornAt: number, clockMs: number): void {
-    const report = { ...meant.newestReport, bornAt, clockMs, sequence: UNREPORTED, isDraining: false };
+  /** Handles an answer of an unexpected incarnation, whose capacity is unknown until its first report. */
+  private handleOtherIncarnation(expected: UpstreamSession, bornAt: number, clockMs: number): void {
+    const report = {
+      ...expected.newestReport,
+      bornAt,
+      clockMs,
+      sequence: UNREPORTED_SEQUENCE,
+      isDraining: false,
+    };
     const known = this.sessions.get(buildIncarnationName(report));
-    const isThere = known && !known.isClosed && !known.isSuperseded;
-    this.supersede(meant, isThere ? known : this.open(report, false));
+    const isOpen = known && !known.isClosed && !known.isSuperseded;
+    this.supersede(expected, isOpen ? known : this.open(report, false));
   }
 
-  /** A life takes work for the first time; one that was found by its answer is kept once it is described. */
+  /**
+   * Handles the first readiness of an incarnation; one without a report is announced when it is described.
+   */
   private handleJoin(session: UpstreamSession): void {
     if (session.isDescribed) this.events.handleJoined(session.newestReport);
   }
@@ -155,10 +164,10 @@
   }
 
   /**
-   * A life is there and runs nothing unknown: supersedes all others, and ends those for which a call that was sent since
-   * has shown that.
+   * Handles an answer which shows that an incarnation is running and runs nothing unknown: supersedes all
+   * others, and ends those that were superseded before the call was sent.
    *
-   * @returns whether no other life is left
+   * @returns whether no other incarnation is left
    */
   private settle(session: UpstreamSession, sentAt: number): boolean {
     const others = this.list().filter((one) => one.id === session.id && one !== session);
@@ -174,7 +183,7 @@
     this.forget(session);
   }
 
-  /** Forgets a session that is over; a superseded one still holds what its end is to tell. */
+  /** Removes a closed session; a superseded one is kept, as its tasks still have to be finished. */
   private forget(session: UpstreamSession): void {
     const { name } = session;
     if (session.isClosed && this.sessions.get(name) === session) this.sessions.delete(name);
@@ -187,12 +196,14 @@
   }
 }
 
-/** Whether a report is of a life before the one that answers; where that tells its start, one without is of none. */
+/**
+ * Checks whether a report is older than the answering incarnation; one without a start time counts as older.
+ */
 function isEarlier({ bornAt }: UpstreamReport, current: UpstreamSession): boolean {
   return current.bornAt !== undefined && (bornAt === undefined || bornAt < current.bornAt);
 }
 
-/** A life stays at its address and with its service. */
-function isSamePlace({ address, service }: UpstreamReport, { newestReport }: UpstreamSession): boolean {
+/** Checks whether address and service are unchanged, which an incarnation never changes. */
+function isSameEndpoint({ address, service }: UpstreamReport, { newestReport }: UpstreamSession): boolean {
   return address === newestReport.address && service === newestReport.service;
 }
--- a/src/process/executor/UpstreamLease.ts
+++ b/src/process/executor/UpstreamLease.ts
@@ -1,71 +1,76 @@
 /**
- * What an agent knows of an upstream's clock, and until when anything there can still run.
+ * Estimates the clock of an upstream, and until when its runs can still be active.
  *
- * Everything at an upstream is leased up to a time on the upstream's own clock, which may be up to 2% slow. The
- * estimate of that clock counts from the moment an answer arrived, so it is never ahead of it by more than drift.
+ * Runs are leased up to a time on the upstream's own clock, which may be up to 2% slow. The estimate of that
+ * clock starts from the arrival of an answer, so it is never ahead by more than the drift.
  *
- * All of this goes by our steady clock, which does not count the time in which the VM was suspended: the upstream may
- * stand on the same VM, so that its clock and its leases stood still as well. Where it went on meanwhile, leases count
- * for longer here than they hold there, and a lease that is given then ends early.
+ * Local times are those of the steady clock, which excludes the time in which the VM was suspended: an
+ * upstream on the same VM is suspended as well, with its leases. If the upstream continued to run, leases are
+ * assumed to last longer than they do, and new leases end early.
  *
- * Where an upstream may start again under its id, a call may reach the next life before that is known. It then names a
- * lease on another clock, which that life cuts to the longest that it grants.
+ * If an upstream can restart with the same id, a call may reach the next incarnation before the restart is
+ * detected. Its lease then refers to another clock, and the next incarnation limits it to the longest lease
+ * that it grants.
  */
 
-/** An upstream's clock may be this much slower than ours. */
+/** Fraction by which the clock of an upstream may be slower than the local one. */
 export const CLOCK_DRIFT = 0.02;
-/** Time for which an order may be on its way within one VM, and be carried out, ms. */
-const ORDER_MARGIN_MS = 15;
+/** Allowance for the transit and execution of an order within one VM, ms. */
+const ORDER_TRANSIT_MS = 15;
 
-/** Lease of one life of an upstream. */
+/** Lease of one incarnation of an upstream. */
 export class UpstreamLease {
   private aliveUntilMs: number;
 
   /**
-   * @param clockMs - the upstream's clock in its first report
-   * @param heardAt - our steady time when the report came
-   * @param leaseMs - how far ahead leases are given
-   * @param effectiveMs - how long such a lease may hold: the longest that an upstream grants, where lives share an id
+   * @param clockMs - clock of the upstream in its first report
+   * @param receivedAt - steady time at which the report arrived
+   * @param leaseMs - duration of a lease
+   * @param effectiveMs - longest time that such a lease may last: the longest that an upstream grants if
+   *   incarnations share an id
    */
   constructor(
     private clockMs: number,
-    private heardAt: number,
+    private receivedAt: number,
     private readonly leaseMs: number,
     private readonly effectiveMs: number,
   ) {
-    this.aliveUntilMs = heardAt;
-    this.handleForeignWriter(heardAt);
+    this.aliveUntilMs = receivedAt;
+    this.handleForeignWriter(receivedAt);
   }
 
-  /** Until when, in our steady time, something at the upstream may still run: the latest lease given, and drift. */
+  /** Steady time until which runs may be active: the end of the latest lease, including drift. */
   get aliveUntil(): number {
     return this.aliveUntilMs;
   }
 
-  /** Calls that were meant for another life may have reached this one until now; their lease holds for all that runs. */
+  /**
+   * Accounts for calls intended for another incarnation that may have extended the lease of this one until
+   * now.
+   */
   handleForeignWriter(now: number): void {
     const lapse = this.effectiveMs * (1 + CLOCK_DRIFT);
-    this.aliveUntilMs = Math.max(this.aliveUntilMs, now + lapse + ORDER_MARGIN_MS);
+    this.aliveUntilMs = Math.max(this.aliveUntilMs, now + lapse + ORDER_TRANSIT_MS);
   }
 
-  /** Notes the clock of an answer that has just arrived. */
+  /** Records the clock of an answer that has just arrived. */
   recordClock(clockMs: number, now: number): void {
     if (clockMs < this.estimate(now)) {
-      // An answer that was on its way for long tells less than what is known already.
+      // An answer with a long transit time is less exact than the current estimate.
       if (clockMs < this.clockMs) return;
     }
     this.clockMs = clockMs;
-    this.heardAt = now;
+    this.receivedAt = now;
   }
 
-  /** Returns the end of a lease that is given now, on the upstream's clock, and remembers it. */
+  /** Extends the lease from now on, and returns its end on the upstream's clock. */
   extend(now: number): number {
-    const lapse = (this.effectiveMs + (now - this.heardAt) * CLOCK_DRIFT) * (1 + CLOCK_DRIFT);
-    this.aliveUntilMs = Math.max(this.aliveUntilMs, now + lapse + ORDER_MARGIN_MS);
+    const lapse = (this.effectiveMs + (now - this.receivedAt) * CLOCK_DRIFT) * (1 + CLOCK_DRIFT);
+    this.aliveUntilMs = Math.max(this.aliveUntilMs, now + lapse + ORDER_TRANSIT_MS);
     return Math.floor(this.estimate(now) + this.leaseMs);
   }
 
   private estimate(now: number): number {
-    return this.clockMs + (now - this.heardAt);
+    return this.clockMs + (now - this.receivedAt);
   }
 }
--- a/src/process/executor/UpstreamSession.test.ts
+++ b/src/process/executor/UpstreamSession.test.ts
@@ -43,7 +43,7 @@
     await this.clock.advance(10);
   }
 
-  /** The upstream says that it has room for so many tasks. */
+  /** Reports a capacity for the given number of tasks. */
   report(tasks: number, sequence: number): void {
     const capacity = { ...UPSTREAM_CAPACITY, cpuMilli: tasks * 1_000 };
     const { clockMs } = this.upstream;
@@ -64,7 +64,7 @@
 
   afterEach(() => bench.session.close('test ends'));
 
-  it('starts a task, renews its lease and tells its end', async () => {
+  it('starts a task, renews its lease and reports its end', async () => {
     await bench.start();
     bench.upstream.taskMs = 2_000;
     bench.session.offer(buildStartOrder(0), 'entry');
@@ -73,17 +73,17 @@
     expect(bench.session.free).to.deep.equal(UPSTREAM_CAPACITY);
   });
 
-  it('never starts more than there is room for', async () => {
+  it('never starts more tasks than fit', async () => {
     await bench.start();
     for (let index = 0; index < 6; index += 1) bench.session.offer(buildStartOrder(index), 'entry');
     await bench.clock.advance(20);
     expect(bench.upstream.running.size).to.equal(4);
     await bench.clock.advance(60);
-    bench.session.beginWaiting();
+    bench.session.startWaitingTasks();
     expect(bench.results).to.have.members(['4 not-run full', '5 not-run full']);
   });
 
-  it('returns within a few ms what does not fit, without a tick', async () => {
+  it('returns tasks that do not fit within a few ms, without a tick', async () => {
     await bench.start();
     bench.upstream.taskMs = 500;
     for (let index = 0; index < 5; index += 1) bench.session.offer(buildStartOrder(index), 'entry');
@@ -91,7 +91,7 @@
     expect(bench.results).to.deep.equal(['4 not-run full']);
   });
 
-  it('sends an unanswered start again under the same run, and starts it once', async () => {
+  it('repeats an unanswered start with the same run number, and starts it once', async () => {
     await bench.start();
     bench.upstream.fates.push('unanswered');
     bench.session.offer(buildStartOrder(0), 'entry');
@@ -100,7 +100,7 @@
     expect(bench.results).to.deep.equal(['0 done done']);
   });
 
-  it('does not run a task again that ended before its unanswered start was repeated', async () => {
+  it('does not run a task twice that ended before its unanswered start was repeated', async () => {
     await bench.start();
     bench.upstream.taskMs = 20;
     bench.upstream.fates.push('unanswered');
@@ -110,7 +110,7 @@
     expect(bench.results).to.deep.equal(['0 done done']);
   });
 
-  it('keeps the room of a task that is being stopped until its end is listed', async () => {
+  it('keeps the capacity of a stopping task in use until its end is listed', async () => {
     await bench.start();
     bench.upstream.taskMs = 5_000;
     for (let index = 0; index < 4; index += 1) bench.session.offer(buildStartOrder(index), 'entry');
@@ -124,7 +124,7 @@
     expect(bench.session.free.cpuMilli).to.equal(1_000);
   });
 
-  it('asks an upstream that answers nothing to stop a task no more often than it takes to doubt it', async () => {
+  it('sends only a few stops while the upstream is unresponsive', async () => {
     await bench.start();
     bench.upstream.taskMs = 5_000;
     bench.session.offer(buildStartOrder(0), 'entry');
@@ -138,7 +138,7 @@
     expect(bench.results).to.have.length(1);
   });
 
-  it('says that a withdrawn start has not run once the upstream has confirmed it', async () => {
+  it('reports a withdrawn start as not run once the upstream has confirmed that', async () => {
     await bench.start();
     bench.upstream.fates.push('lost', 'lost', 'lost', 'lost');
     bench.session.offer(buildStartOrder(0), 'entry');
@@ -147,7 +147,7 @@
     expect(bench.upstream.starts).to.equal(0);
   });
 
-  it('takes what runs for lost only after every lease is over', async () => {
+  it('finishes running tasks as lost only after all leases have expired', async () => {
     await bench.start();
     bench.upstream.taskMs = 5_000;
     bench.session.offer(buildStartOrder(0), 'entry');
@@ -160,7 +160,7 @@
     expect(bench.upstream.clockMs).to.be.greaterThan(bench.upstream.leaseUntil);
   });
 
-  it('takes no work while the upstream leaves a renewal or a start without an answer', async () => {
+  it('takes no work while renewals or starts are not answered', async () => {
     await bench.start();
     bench.upstream.silent = true;
     await bench.clock.advance(300);
@@ -176,7 +176,7 @@
     expect(bench.session.state).to.equal('silent');
   });
 
-  it('takes work while other orders are answered, though one start was not', async () => {
+  it('takes work while other orders are answered, although one start was not', async () => {
     await bench.start();
     bench.upstream.taskMs = 2_000;
     bench.upstream.fates.push('unanswered');
@@ -189,7 +189,7 @@
     }
   });
 
-  it('asks for ends often for a second after the answer of a renewal was lost', async () => {
+  it('renews more often for a second after the answer to a renewal was lost', async () => {
     await bench.start();
     bench.upstream.lostRenewals = 1;
     await bench.clock.advance(300);
@@ -202,7 +202,7 @@
     expect(bench.upstream.renewals - later).to.be.within(2, 4);
   });
 
-  it('sends a start again soon where answers usually come at once', async () => {
+  it('repeats a start soon if answers usually arrive immediately', async () => {
     await bench.start();
     bench.upstream.taskMs = 30;
     for (let index = 0; index < 4; index += 1) bench.session.offer(buildStartOrder(index), 'entry');
@@ -213,7 +213,7 @@
     expect(bench.upstream.starts).to.equal(5);
   });
 
-  it('stops what an earlier life of the agent had started before it takes work', async () => {
+  it('stops the runs of an earlier executor incarnation before it takes work', async () => {
     bench.upstream.taskMs = 5_000;
     bench.upstream.leaseUntil = bench.upstream.clockMs + 1_000;
     bench.upstream.beginForeign({ job: 'old', step: 0, index: 0, run: 3 });
@@ -229,7 +229,7 @@
     expect([...bench.upstream.running.keys()]).to.deep.equal(['job/0/0']);
   });
 
-  it('gives a task a newer run where an earlier life of the agent had run it', async () => {
+  it('uses a higher run number for a task that an earlier executor incarnation has run', async () => {
     bench.upstream.leaseUntil = bench.upstream.clockMs + 1_000;
     bench.upstream.beginForeign({ job: 'job', step: 0, index: 0, run: 7 });
     await bench.start();
@@ -240,7 +240,7 @@
     expect(bench.upstream.doubled).to.equal(0);
   });
 
-  it('raises its fencing token above the one it meets', async () => {
+  it('raises its fencing token above the one of the upstream', async () => {
     bench.upstream.token = FIRST_TOKEN + 2_500;
     await bench.start();
     await bench.clock.advance(300);
@@ -248,7 +248,7 @@
     expect(bench.upstream.token).to.be.greaterThan(FIRST_TOKEN + 2_500);
   });
 
-  it('has a start refused that is carried out late, once its task was given up as lost', async () => {
+  it('fences off a delayed start whose task has been finished as lost', async () => {
     await bench.start();
     bench.upstream.lateMs = 3_000;
     bench.upstream.fates.push('late');
@@ -262,7 +262,7 @@
     expect(bench.session.state).to.equal('ready');
   });
 
-  it('takes no work while the upstream drains, and lets what runs end', async () => {
+  it('takes no work while the upstream drains, and lets running tasks end', async () => {
     await bench.start();
     bench.session.offer(buildStartOrder(0), 'entry');
     await bench.clock.advance(10);
@@ -271,11 +271,11 @@
     );
     bench.session.offer(buildStartOrder(1), 'entry');
     await bench.clock.advance(200);
-    bench.session.beginWaiting();
+    bench.session.startWaitingTasks();
     expect(bench.results).to.have.members(['0 done done', '1 not-run full']);
   });
 
-  it('waits for the ends of what still runs at an upstream that has said goodbye', async () => {
+  it('waits for running tasks to end after the upstream has announced its shutdown', async () => {
     await bench.start();
     bench.session.offer(buildStartOrder(0), 'entry');
     await bench.clock.advance(20);
@@ -287,13 +287,13 @@
     expect(bench.session.isClosed).to.equal(true);
   });
 
-  it('ends with an upstream that has said goodbye and runs nothing', async () => {
+  it('closes when an upstream without tasks announces its shutdown', async () => {
     await bench.start();
     bench.session.leave();
     expect(bench.session.isClosed).to.equal(true);
   });
 
-  it('trusts an upstream that fails everything with one task at a time', async () => {
+  it('becomes suspect and limits starts if all tasks fail', async () => {
     await bench.start();
     bench.upstream.fails = true;
     for (let index = 0; index < 8; index += 1) {
@@ -303,11 +303,11 @@
       );
       await bench.clock.advance(10);
     }
-    expect(bench.session.readTrust()).to.equal('suspect');
+    expect(bench.session.readHealth()).to.equal('suspect');
     expect(bench.upstream.starts).to.be.lessThan(6);
   });
 
-  it('reports a speed near 0 while tasks stand still', async () => {
+  it('reports a speed near 0 while tasks are stalled', async () => {
     await bench.start();
     bench.upstream.hangs = true;
     bench.session.offer(buildStartOrder(0), 'entry');
@@ -315,13 +315,13 @@
     expect(bench.session.readSpeed()).to.be.lessThan(0.1);
   });
 
-  describe('tells of what ran when the upstream was lost', () => {
+  describe('reports for tasks of a lost upstream', () => {
     beforeEach(async () => {
       await bench.start();
       bench.upstream.hangs = true;
     });
 
-    it('that it crashed, if nobody listens when every lease is over', async () => {
+    it('a crash, if connections are refused after all leases have expired', async () => {
       bench.session.offer(buildStartOrder(0), 'entry');
       await bench.clock.advance(50);
       bench.upstream.refuses = true;
@@ -329,7 +329,7 @@
       expect(bench.results).to.deep.equal(['0 lost upstream-crashed']);
     });
 
-    it('that it crashed, if the task was to be stopped meanwhile', async () => {
+    it('a crash, even if the task was being stopped', async () => {
       bench.session.offer(buildStartOrder(0), 'entry');
       await bench.clock.advance(50);
       bench.upstream.refuses = true;
@@ -338,7 +338,7 @@
       expect(bench.results).to.deep.equal(['0 lost upstream-crashed']);
     });
 
-    it('that it crashed, if another life answers', async () => {
+    it('a crash, if another incarnation answers', async () => {
       bench.session.offer(buildStartOrder(0), 'entry');
       await bench.clock.advance(50);
       bench.upstream.isReplaced = true;
@@ -346,14 +346,14 @@
       expect(bench.results).to.deep.equal(['0 lost upstream-crashed']);
     });
 
-    it('nothing against a task whose only start another life has refused', async () => {
+    it('no crash for a task whose only start another incarnation has refused', async () => {
       bench.upstream.isReplaced = true;
       bench.session.offer(buildStartOrder(0), 'entry');
       await bench.clock.advance(300);
       expect(bench.results).to.deep.equal(['0 lost other-life']);
     });
 
-    it('that it was out of reach, if it only answers nothing', async () => {
+    it('an unreachable upstream, if it does not answer', async () => {
       bench.session.offer(buildStartOrder(0), 'entry');
       await bench.clock.advance(50);
       bench.upstream.silent = true;
@@ -361,7 +361,7 @@
       expect(bench.results).to.deep.equal(['0 lost unreachable']);
     });
 
-    it('that it left, if it had said that it ends', async () => {
+    it('no crash, if the upstream had announced its shutdown', async () => {
       bench.session.offer(buildStartOrder(0), 'entry');
       await bench.clock.advance(50);
       bench.session.leave();
@@ -370,7 +370,7 @@
       expect(bench.results).to.deep.equal(['0 lost other-life']);
     });
 
-    it('nothing against a task whose starts were all refused', async () => {
+    it('no crash for a task whose starts were all refused', async () => {
       bench.upstream.refuses = true;
       bench.session.offer(buildStartOrder(0), 'entry');
       await bench.clock.advance(1_400);
@@ -378,13 +378,13 @@
     });
   });
 
-  describe('when its room changes', () => {
+  describe('when its capacity changes', () => {
     beforeEach(async () => {
       await bench.start();
       bench.upstream.taskMs = 500;
     });
 
-    it('begins what waits as soon as there is room, and says so', async () => {
+    it('starts waiting tasks as soon as they fit, and reports the change', async () => {
       bench.offer(0, 4);
       await bench.clock.advance(2);
       bench.report(5, 2);
@@ -393,7 +393,7 @@
       expect([bench.capacityChanges, bench.results]).to.deep.equal([1, []]);
     });
 
-    it('begins nothing below what runs, and lets that end', async () => {
+    it('starts nothing while running tasks exceed the capacity, and lets them end', async () => {
       bench.offer(0, 3);
       await bench.clock.advance(20);
       bench.report(2, 2);
@@ -416,14 +416,14 @@
       ]);
     });
 
-    it('returns at once what waits and cannot fit any more', () => {
+    it('returns waiting tasks that no longer fit at once', () => {
       bench.offer(0, 4);
       bench.report(3, 2);
       expect(bench.results).to.deep.equal(['4 not-run full']);
       expect(bench.capacityChanges).to.equal(1);
     });
 
-    it('keeps waiting what may still fit', () => {
+    it('keeps tasks waiting that may still fit', () => {
       bench.offer(0, 2);
       for (const [index, cpuMilli] of [2_000, 3_500].entries()) {
         const resources = { ...UPSTREAM_CAPACITY, memoryMb: 10, cpuMilli };
@@ -434,7 +434,7 @@
       expect(bench.session.listHeld('entry')).to.have.length(4);
     });
 
-    it('does not repeat a start that got no answer while more is begun than there is room for', async () => {
+    it('does not repeat an unanswered start while the started tasks exceed the capacity', async () => {
       bench.upstream.fates.push('lost');
       bench.offer(0, 3);
       bench.report(3, 2);
@@ -443,7 +443,7 @@
       expect(bench.results).to.include('0 not-run full');
     });
 
-    it('goes by the newest word, also when an earlier one comes late', async () => {
+    it('uses the newest report, even if an earlier one arrives later', async () => {
       bench.report(1, 5);
       bench.report(4, 4);
       bench.offer(0, 3);
@@ -454,7 +454,7 @@
       expect(bench.upstream.starts).to.equal(4);
     });
 
-    it('never starts beyond the newest room, however it changes while starts are on their way', async () => {
+    it('never exceeds the newest capacity, however it changes while starts are in flight', async () => {
       const change = fc.tuple(fc.integer({ min: 0, max: 6 }), fc.integer({ min: 0, max: 3 }), fc.nat(60));
       const fates = fc.array(fc.constantFrom('answered' as const, 'lost' as const, 'unanswered' as const), {
         maxLength: 6,
--- a/src/process/executor/UpstreamSession.ts
+++ b/src/process/executor/UpstreamSession.ts
@@ -1,9 +1,10 @@
 /**
- * One life of one upstream, as its only user sees it: exact room, lease, starts, stops and ends.
+ * Session with one incarnation of one upstream, of which this process is the only user: exact capacity,
+ * lease, starts, stops and ends.
  *
- * A task takes room from before its start is sent until its end is certain: listed by the upstream, confirmed
- * never to have begun, or past every lease that was given. Orders are repeated when no answer comes; they carry
- * the run's number and a near lease, so that a late copy does nothing.
+ * A task uses capacity from before its start is sent until its end is certain: listed by the upstream,
+ * confirmed never to have started, or after all leases have expired. Orders without an answer are repeated;
+ * the run number and a short lease make them idempotent.
  */
 import { assertInvariant } from '../../_lib/assertInvariant.js';
 import type { Clock } from '../../_lib/Clock.js';
@@ -40,11 +41,12 @@
 import { UpstreamCalls } from './UpstreamCalls.js';
 import { findReturnReason, OVERDUE_MS, WaitingStarts } from './WaitingStarts.js';
 
-/** Pause before a renewal that brought nothing is repeated, ms. */
+/** Pause before a renewal is repeated after a failure, ms. */
 const REPEAT_PAUSE_MS = 15;
-/** Pause between two looks at an upstream that is out of reach, ms. */
+/** Pause between two renewals while the upstream is unreachable, ms. */
 const UNREACHABLE_PAUSE_MS = 150;
-/** A life of an upstream. */
+
+/** Session with one incarnation of an upstream. */
 export class UpstreamSession {
   readonly tasks = new Map<string, LocalTask>();
   private readonly waiting = new WaitingStarts();
@@ -52,8 +54,8 @@
   private readonly orders: RunOrders;
   private readonly lists: RunLists;
   private readonly speedMeter: SpeedMeter;
-  private told: UpstreamDescription;
-  private readonly trustMeter = new HealthMeter();
+  private reportedDescription: UpstreamDescription;
+  private readonly healthMeter = new HealthMeter();
   private readonly runs = new RunHistory();
   private used: Resources = NO_RESOURCES;
   private joined = false;
@@ -63,25 +65,26 @@
   private reachable = true;
 
   /**
-   * @param report - what is known of this life
-   * @param described - whether the life itself has said it; else it takes no work until it has
-   * @param executor - the way to the upstream
-   * @param clock - of this process
-   * @param tokens - of this process
-   * @param bounds - to keep to
-   * @param events - what to tell
+   * @param report - first report of this incarnation
+   * @param described - whether the incarnation itself has sent the report; if not, it takes no work until it
+   *   sends one
+   * @param api - client of the upstream's API
+   * @param clock - clock of this process
+   * @param tokens - fencing tokens of this process
+   * @param bounds - timeouts of the session
+   * @param events - callbacks to the executor
    */
   constructor(
     private report: UpstreamReport,
     private described: boolean,
-    executor: UpstreamApi,
+    api: UpstreamApi,
     private readonly clock: Clock,
     tokens: FencingTokens,
     private readonly bounds: SessionBounds,
     private readonly events: SessionEvents,
   ) {
     const now = clock.now();
-    this.calls = new UpstreamCalls(executor, report, bounds, clock, tokens, {
+    this.calls = new UpstreamCalls(api, report, bounds, clock, tokens, {
       changeAnswers: (answers) => {
         this.events.log('upstream-answers', { upstream: this.name, answers, tasks: this.load });
         this.events.change();
@@ -105,7 +108,7 @@
       stopUnknown: (name) => this.orders.stopUnknown(name),
     });
     this.speedMeter = createSpeedMeter(bounds.speedMeasure ?? 'mean', now);
-    this.told = describeReport(report);
+    this.reportedDescription = describeReport(report);
   }
 
   get id(): string {
@@ -116,32 +119,32 @@
     return this.report.bornAt;
   }
 
-  /** Names this life. */
+  /** Name of this incarnation. */
   get name(): string {
     return buildIncarnationName(this.report);
   }
 
-  /** What is known of this life. */
+  /** Newest report of this incarnation. */
   get newestReport(): UpstreamReport {
     return this.report;
   }
 
-  /** Whether this life has reported itself. */
+  /** Whether this incarnation has sent a report. */
   get isDescribed(): boolean {
     return this.described;
   }
 
-  /** Whether this life has answered and been fenced, and runs nothing unknown. */
+  /** Whether this incarnation has answered and been fenced, and runs nothing unknown. */
   get isJoined(): boolean {
     return this.joined;
   }
 
-  /** Whether another life of the upstream has taken the place of this one. */
+  /** Whether another incarnation has replaced this one. */
   get isSuperseded(): boolean {
     return this.supersededSince !== undefined;
   }
 
-  /** Since when that is known; undefined while it has not. */
+  /** When it was superseded; undefined if it has not been. */
   get supersededAt(): number | undefined {
     return this.supersededSince;
   }
@@ -150,21 +153,21 @@
     return this.report.service;
   }
 
-  /** What entries are told of the upstream; another object only when it has changed. */
+  /** Description of the upstream for dispatchers; replaced by another object only when it changes. */
   get description(): UpstreamDescription {
-    return this.told;
+    return this.reportedDescription;
   }
 
   get isReachable(): boolean {
     return this.reachable;
   }
 
-  /** Whether this life of the upstream is over for the agent. */
+  /** Whether the session is closed. */
   get isClosed(): boolean {
     return this.closed;
   }
 
-  /** What may be started now. */
+  /** Free capacity; none unless ready. */
   get free(): Resources {
     if (this.state !== 'ready') return NO_RESOURCES;
     return subtractResources(this.report.capacity, this.used);
@@ -177,35 +180,36 @@
     return this.calls.isAnswering ? 'ready' : 'silent';
   }
 
-  /** Trust from failures. */
-  readTrust(): ReturnType<HealthMeter['read']> {
-    return this.trustMeter.read(this.clock.now());
+  /** Returns the health, which depends on failed tasks. */
+  readHealth(): ReturnType<HealthMeter['read']> {
+    return this.healthMeter.read(this.clock.now());
   }
 
-  /** Work per ms, in ms of estimates. */
+  /** Returns the speed: estimated work done per run time. */
   readSpeed(): number {
     return this.speedMeter.read(this.clock.now());
   }
 
-  /** Takes a newer report of the same life. */
+  /** Handles a report of the same incarnation; an older one is skipped. */
   update(report: UpstreamReport): void {
-    if (report.sequence < this.report.sequence) return this.logPassedOver(report);
+    if (report.sequence < this.report.sequence) return this.logSkippedReport(report);
     const before = this.state;
     const { capacity } = this.report;
     this.report = report;
     this.described = true;
-    const told = describeReport(report);
-    if (JSON.stringify(told) !== JSON.stringify(this.told)) this.told = told;
+    const description = describeReport(report);
+    if (JSON.stringify(description) !== JSON.stringify(this.reportedDescription))
+      this.reportedDescription = description;
     if (this.state !== before) {
       this.events.log('upstream-state', { upstream: this.name, state: this.state });
       if (this.state === 'draining') this.dropWaiting('draining');
       this.events.change();
     }
-    if (!equalResources(capacity, report.capacity)) this.followCapacity(capacity);
+    if (!equalResources(capacity, report.capacity)) this.applyCapacityChange(capacity);
   }
 
-  /** Room has shrunk or grown: what cannot fit any more goes back at once, and what fits now begins. */
-  private followCapacity(before: Resources): void {
+  /** Applies a changed capacity: returns waiting tasks that no longer fit, and starts those that fit now. */
+  private applyCapacityChange(before: Resources): void {
     const { capacity } = this.report;
     const { used, name } = this;
     this.events.log('capacity-changed', {
@@ -216,32 +220,35 @@
       waiting: this.waiting.size,
     });
     for (const task of this.waiting.list()) {
-      if (this.isOverfull || !fitResources(task.order.resources, capacity)) this.dropOne(task, 'full');
+      if (this.isOverfull || !fitResources(task.order.resources, capacity)) this.dropStart(task, 'full');
     }
-    this.beginWaiting();
+    this.startWaitingTasks();
     this.events.changeCapacity(this.report, before);
   }
 
-  /** Whether more takes room than there is since it has shrunk: nothing may begin then. */
+  /** Whether running tasks exceed a reduced capacity; no task may be started then. */
   private get isOverfull(): boolean {
     return !fitResources(this.used, this.report.capacity);
   }
 
-  /** A start is about to be repeated: stops what may not run on, and the start itself where its room is gone. */
+  /**
+   * Called before a start is repeated: stops tasks that may not run any longer, and the start if it no longer
+   * fits.
+   */
   private revalidate(task: LocalTask): void {
     this.events.revalidate(this.clock.now());
     if (task.phase === 'starting' && this.isOverfull) this.stopTask(task, 'full');
   }
 
-  private logPassedOver({ sequence, isDraining, clockMs }: UpstreamReport): void {
+  private logSkippedReport({ sequence, isDraining, clockMs }: UpstreamReport): void {
     const { sequence: known, clockMs: knownClockMs } = this.report;
     const fields = { upstream: this.name, sequence, known, isDraining, clockMs, knownClockMs };
     this.events.log('report-passed-over', fields);
   }
 
   /**
-   * The upstream has said that it ends. What it runs takes room, and may run on, until its end is listed or its lease
-   * is over: the upstream's process outlives its word.
+   * Handles the announcement of the upstream that it shuts down. Its tasks use capacity and may continue
+   * until their end is listed or their lease expires, as the process still runs after the announcement.
    */
   leave(): void {
     this.leaving = true;
@@ -250,22 +257,22 @@
     else this.events.change();
   }
 
-  /** Takes an order; it starts as soon as it fits, or ends as not run. */
+  /** Accepts an order, which is started as soon as it fits or returned as not run. */
   offer(order: StartOrder, owner: string): void {
     const now = this.clock.now();
     const task = createLocalTask(buildTaskKey(order.name), order, owner, now);
     const other = this.tasks.get(task.key);
     if (other && other.owner !== owner) this.stopTask(other, 'submitted-elsewhere');
     this.waiting.add(task);
-    this.beginWaiting();
-    if (task.phase === 'waiting') void this.clock.sleep(OVERDUE_MS).then(() => this.beginWaiting());
+    this.startWaitingTasks();
+    if (task.phase === 'waiting') void this.clock.sleep(OVERDUE_MS).then(() => this.startWaitingTasks());
   }
 
-  /** Ends an attempt wherever it is; false if it is not here. */
+  /** Stops a waiting or running attempt; returns false if it is not here. */
   stop(key: string, attempt: number, owner: string, reason: string): boolean {
     const waiting = this.waiting.find(key, attempt, owner);
     if (waiting) {
-      this.dropOne(waiting, reason);
+      this.dropStart(waiting, reason);
       return true;
     }
     const task = this.tasks.get(key);
@@ -274,28 +281,28 @@
     return true;
   }
 
-  /** Ends everything that an entry has ordered. */
+  /** Stops all tasks ordered by a dispatcher, and returns their number. */
   stopOwner(owner: string, reason: string): number {
     const held = this.listHeld(owner).filter(({ phase }) => phase !== 'stopping');
     for (const task of held) {
-      if (task.phase === 'waiting') this.dropOne(task, reason);
+      if (task.phase === 'waiting') this.dropStart(task, reason);
       else this.stopTask(task, reason);
     }
     return held.length;
   }
 
-  /** Ends everything. */
+  /** Stops all tasks. */
   stopAll(reason: string): void {
     this.dropWaiting(reason);
     for (const task of [...this.tasks.values()]) this.stopTask(task, reason);
   }
 
-  /** Attempts that are held for an entry. */
+  /** Lists the attempts held for a dispatcher. */
   listHeld(owner: string): LocalTask[] {
     return [...this.waiting.list(), ...this.tasks.values()].filter((task) => task.owner === owner);
   }
 
-  /** Processor room that tasks take, by the entry that has ordered them, thousandths of a core. */
+  /** Sums the processor capacity used by tasks per dispatcher, thousandths of a core. */
   sumUsed(): Map<string, number> {
     const used = new Map<string, number>();
     for (const { owner, order } of this.tasks.values())
@@ -303,36 +310,36 @@
     return used;
   }
 
-  /** Tasks that wait or may run. */
+  /** Number of tasks that wait or may run. */
   get load(): number {
     return this.waiting.size + this.tasks.size;
   }
 
-  /** Whether a task is here under which upstreams have crashed. */
+  /** Whether a suspect task, which may crash upstreams, waits or runs here. */
   get hasSuspect(): boolean {
     return [...this.waiting.list(), ...this.tasks.values()].some(({ order }) => order.isSuspect);
   }
 
-  /** Whether nothing more is sent to this life. */
+  /** Whether nothing more may be sent to this incarnation. */
   private get isOver(): boolean {
     return this.closed || this.isSuperseded;
   }
 
-  /** Starts what fits and lets go what has waited too long. */
-  beginWaiting(): void {
+  /** Starts waiting tasks that fit, and returns those that have waited too long. */
+  startWaitingTasks(): void {
     const now = this.clock.now();
     for (const task of this.waiting.list()) {
       const reason = findReturnReason(task, now);
       if (reason !== undefined) {
-        this.dropOne(task, reason);
-      } else if (this.canBegin(task)) {
+        this.dropStart(task, reason);
+      } else if (this.canStart(task)) {
         this.waiting.remove(task);
-        this.begin(task, now);
+        this.startTask(task, now);
       }
     }
   }
 
-  /** Follows the upstream until it is gone: renews the lease, reads what runs and what has ended. */
+  /** Renews the lease and applies the lists of running and ended runs until the session is over. */
   async run(): Promise<void> {
     while (!this.isOver) {
       this.events.revalidate(this.clock.now());
@@ -352,8 +359,9 @@
   }
 
   /**
-   * Another life of the upstream has taken the place of this one: nothing more is sent. What ran here ends with `close`,
-   * once it is certain that nothing of it runs in the other life, which orders may have reached.
+   * Marks this incarnation as replaced by another one, after which nothing more is sent to it. Its tasks are
+   * finished by `close`, once it is certain that the other incarnation, which orders may have reached, runs
+   * none of them.
    */
   supersede(): void {
     if (this.isOver) return;
@@ -364,19 +372,22 @@
     this.events.change();
   }
 
-  /** Another session has sent calls until now that may have reached this life: the next one of ours has it refuse them. */
+  /**
+   * Takes over from another session, whose calls may have reached this incarnation: the next call fences them
+   * off.
+   */
   takeOver(): void {
     this.calls.fenceOff();
     this.calls.handleForeignWriter();
   }
 
-  /** Ends the session: this life of the upstream is gone, and all that ran there with it. */
+  /** Closes the session, as the incarnation is gone, and finishes its tasks as lost. */
   close(reason: string): void {
     if (this.closed) return;
     this.closed = true;
     this.events.log('upstream-gone', { upstream: this.name, reason, tasks: this.load });
     this.dropWaiting(reason);
-    this.loseAll(reason, undefined);
+    this.finishAllAsLost(reason, undefined);
     this.calls.close();
     this.events.change();
   }
@@ -391,9 +402,9 @@
       return this.events.findOtherLife(bornAt, answer.clockMs);
     if (!this.reachable) this.events.log('upstream-reachable', { upstream: this.name });
     this.reachable = true;
-    const unknown = this.lists.take(answer, sentAt, now);
+    const unknown = this.lists.applyAnswer(answer, sentAt, now);
     if (unknown === 0 && this.events.settle(sentAt) && !this.joined) this.join();
-    this.beginWaiting();
+    this.startWaitingTasks();
   }
 
   private join(): void {
@@ -407,20 +418,23 @@
     this.events.change();
   }
 
-  /** No answer: once every lease that was given is over, nothing can run there any more. */
+  /**
+   * Handles a failed renewal; once all leases have expired, the upstream is unreachable and its tasks are
+   * lost.
+   */
   private handleUnresponsive(error: unknown): void {
     if (!this.reachable || !this.calls.hasLapsedFor(this.bounds.stopMs)) return;
     this.reachable = false;
     this.events.log('upstream-unreachable', { upstream: this.name, error: String(error), tasks: this.load });
     this.dropWaiting('unreachable');
-    this.loseAll('unreachable', error);
-    // A start without an answer may be carried out seconds later, after its task has been started elsewhere.
+    this.finishAllAsLost('unreachable', error);
+    // A start without an answer may still be executed later, when its task has been started elsewhere.
     this.calls.fenceOff();
     this.events.change();
   }
 
-  /** All that ran here is gone. */
-  private loseAll(reason: string, error: unknown): void {
+  /** Finishes all tasks as lost. */
+  private finishAllAsLost(reason: string, error: unknown): void {
     const isPlanned = this.leaving || this.report.isDraining;
     const crashed = !isPlanned && isCrash(reason, error);
     if (crashed && this.tasks.size > 0)
@@ -429,20 +443,20 @@
       this.finish(task, 'lost', crashed ? findLossReason(task, reason) : reason);
   }
 
-  private canBegin(task: LocalTask): boolean {
+  private canStart(task: LocalTask): boolean {
     if (this.state !== 'ready' || this.tasks.has(task.key)) return false;
-    const trust = this.readTrust();
-    if (trust === 'suspect' || (trust === 'probation' && this.tasks.size > 0)) return false;
+    const health = this.readHealth();
+    if (health === 'suspect' || (health === 'probation' && this.tasks.size > 0)) return false;
     return fitResources(task.order.resources, this.free);
   }
 
-  private begin(task: LocalTask, now: number): void {
+  private startTask(task: LocalTask, now: number): void {
     this.step(task, 'begin');
     task.sentAt = now;
     task.run = this.runs.take(task.key);
     this.tasks.set(task.key, task);
     this.used = addResources(this.used, task.order.resources);
-    assertInvariant(fitResources(this.used, this.report.capacity), 'starts never exceed the room');
+    assertInvariant(fitResources(this.used, this.report.capacity), 'starts never exceed the capacity');
     void this.orders.start(task);
     this.events.change();
   }
@@ -466,7 +480,7 @@
     const share = Math.max(0, percent - task.percent) / 100;
     const { key, order } = task;
     const elapsedMs = now - task.sampledAt;
-    this.speedMeter.note({ key, share, estimateMs: order.estimateMs, elapsedMs }, now);
+    this.speedMeter.record({ key, share, estimateMs: order.estimateMs, elapsedMs }, now);
     task.sampledAt = now;
     if (share === 0) return;
     task.percent = percent;
@@ -474,7 +488,7 @@
   }
 
   private recordFailure(task: LocalTask, now: number): void {
-    if (this.trustMeter.recordFailure(task.order.name.job, now)) {
+    if (this.healthMeter.recordFailure(task.order.name.job, now)) {
       this.events.log('upstream-suspect', { upstream: this.name });
       this.events.change();
     }
@@ -485,27 +499,27 @@
     const now = this.clock.now();
     this.step(task, 'end');
     this.tasks.delete(task.key);
-    this.speedMeter.noteEnd(task.key, end === 'done', now);
+    this.speedMeter.recordEnd(task.key, end === 'done', now);
     this.used = subtractResources(this.used, task.order.resources);
-    if (end === 'done') this.trustMeter.recordSuccess();
+    if (end === 'done') this.healthMeter.recordSuccess();
     if (end === 'failed') this.recordFailure(task, now);
     const isStopReason = task.stopReason !== '' && reason !== UPSTREAM_CRASHED;
     this.events.finish(task, end, isStopReason ? task.stopReason : reason);
     this.events.change();
     if (this.isOver) return;
     if (this.leaving && this.load === 0) this.close('left');
-    else this.beginWaiting();
+    else this.startWaitingTasks();
   }
 
-  private dropOne(task: LocalTask, reason: string): void {
+  private dropStart(task: LocalTask, reason: string): void {
     if (!this.waiting.remove(task)) return;
     this.step(task, 'stop');
     this.events.finish(task, 'not-run', reason);
   }
 
-  /** Ends what waits for room, as not run. */
+  /** Returns all waiting tasks as not run. */
   dropWaiting(reason: string): void {
-    for (const task of this.waiting.list()) this.dropOne(task, reason);
+    for (const task of this.waiting.list()) this.dropStart(task, reason);
   }
 
   private step(task: LocalTask, event: LocalEvent): void {
--- a/src/process/executor/buildIncarnationName.ts
+++ b/src/process/executor/buildIncarnationName.ts
@@ -1,12 +1,13 @@
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
 
 /**
- * Names a life of an upstream. The id alone does not: an upstream may start again under the id that it had.
+ * Builds a name for an incarnation of an upstream. The id alone is not unique, as an upstream may restart
+ * with the same id.
  *
- * @param report - of that life
- * @returns the id, with the life's start where the upstream tells it
+ * @param report - a report of the incarnation
+ * @returns the id, with the start of the incarnation if the upstream reports it
  * @example
- * buildLifeName({ id: 'i-1', bornAt: 5 }); // 'i-1@5'
+ * buildIncarnationName({ id: 'i-1', bornAt: 5 }); // 'i-1@5'
  */
 export function buildIncarnationName({ id, bornAt }: Pick<UpstreamReport, 'id' | 'bornAt'>): string {
   return bornAt === undefined ? id : `${id}@${bornAt}`;
--- a/src/process/executor/convertRunEnd.ts
+++ b/src/process/executor/convertRunEnd.ts
@@ -1,12 +1,12 @@
-/** Ends of runs in the words of the links. */
+/** Conversion of run ends to attempt ends. */
 import type { AttemptEnd } from '../../connection/peer/peerMessages.js';
 import type { RunEnd } from '../../ports/UpstreamApi.js';
 
 /**
- * Converts the end of a run into the end of the attempt it served.
+ * Converts the end of a run to the end of its attempt.
  *
- * @param end - as the upstream listed it
- * @returns `lost` for ends that nobody here has ordered
+ * @param end - end listed by the upstream
+ * @returns `lost` for ends that this process has not caused
  * @example
  * convertRunEnd('lapsed'); // 'lost'
  */
--- a/src/process/executor/crashes.ts
+++ b/src/process/executor/crashes.ts
@@ -1,14 +1,15 @@
-/** Tells a crash of an upstream from other losses of what ran there. */
+/** Distinguishes crashes of an upstream from other losses of its tasks. */
 import { ConnectionRefusedError } from '../../_lib/errors.js';
 import { UPSTREAM_CRASHED } from '../../connection/peer/peerMessages.js';
 import type { LocalTask } from './localTask.js';
 
 /**
- * Tells whether an upstream that had not said that it ends has crashed: another life has taken its place, or nobody
- * listens at its address when every lease is over. One that only answers nothing may be frozen or cut off.
+ * Checks whether an upstream that did not announce its shutdown has crashed: another incarnation has replaced
+ * it, or connections are refused after all leases have expired. An upstream that does not answer may be
+ * frozen or partitioned.
  *
  * @param reason - why its tasks count as lost
- * @param error - of the call that failed last; undefined where an answer told the loss
+ * @param error - error of the last call; undefined if the loss follows from an answer
  * @returns true for a crash
  * @example
  * isCrash('unreachable', new ConnectionRefusedError('connect ECONNREFUSED')); // true
@@ -21,9 +22,9 @@
 /**
  * Finds the reason to report for a task that was lost when its upstream crashed.
  *
- * @param task - which was lost
+ * @param task - the lost task
  * @param reason - why it counts as lost
- * @returns `UPSTREAM_CRASHED`, or the other reason if the task cannot have begun
+ * @returns `UPSTREAM_CRASHED`, or the given reason if the task cannot have started
  */
 export function findLossReason({ openSends }: LocalTask, reason: string): string {
   return openSends > 0 ? UPSTREAM_CRASHED : reason;
--- a/src/process/executor/divideCapacity.test.ts
+++ b/src/process/executor/divideCapacity.test.ts
@@ -8,7 +8,7 @@
 const CLAIM = fc.record({
   demand: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 100_000 })),
   used: fc.integer({ min: 0, max: 20_000 }),
-  isHome: fc.boolean(),
+  isPreferred: fc.boolean(),
 });
 const CLAIMS = fc.array(CLAIM, { minLength: 1, maxLength: 8 });
 const FREE = fc.integer({ min: 0, max: 30_000 });
@@ -18,53 +18,53 @@
   fc.assert(fc.property(FREE, UNIT, CLAIMS, property), { seed: SEED, numRuns: 2_000 });
 }
 
-function sum(parts: readonly number[]): number {
-  return parts.reduce((total, part) => total + part, 0);
+function sum(shares: readonly number[]): number {
+  return shares.reduce((total, share) => total + share, 0);
 }
 
-describe('divideRoom', () => {
-  it('tells no part below nothing, and all parts together no more than there is', () => {
+describe('divideCapacity', () => {
+  it('returns no negative share, and no more than the free capacity in total', () => {
     check((free, unit, claims) => {
-      const parts = divideCapacity(free, unit, claims);
-      expect(parts.every((part) => part >= 0)).to.equal(true);
-      expect(sum(parts)).to.be.at.most(free);
+      const shares = divideCapacity(free, unit, claims);
+      expect(shares.every((share) => share >= 0)).to.equal(true);
+      expect(sum(shares)).to.be.at.most(free);
     });
   });
 
-  it('tells all of it to entries with demand, if there are any', () => {
+  it('divides all of it among dispatchers with demand, if there are any', () => {
     check((free, unit, claims) => {
-      const parts = divideCapacity(free, unit, claims);
+      const shares = divideCapacity(free, unit, claims);
       const isAsked = claims.some(({ demand }) => demand > 0);
-      expect(sum(parts)).to.equal(isAsked ? free : 0);
-      claims.forEach(({ demand }, at) => demand === 0 && expect(parts[at]).to.equal(0));
+      expect(sum(shares)).to.equal(isAsked ? free : 0);
+      claims.forEach(({ demand }, at) => demand === 0 && expect(shares[at]).to.equal(0));
     });
   });
 
-  it('tells whole tasks, and what is left beyond them to one entry', () => {
+  it('divides whole tasks, and adds the rest to one share', () => {
     check((free, unit, claims) => {
-      const parts = divideCapacity(free, unit, claims);
-      expect(parts.filter((part) => part % unit !== 0).length).to.be.at.most(1);
+      const shares = divideCapacity(free, unit, claims);
+      expect(shares.filter((share) => share % unit !== 0).length).to.be.at.most(1);
     });
   });
 
-  it('divides the same in the same way', () => {
+  it('is deterministic', () => {
     check((free, unit, claims) => {
       expect(divideCapacity(free, unit, claims)).to.deep.equal(divideCapacity(free, unit, claims));
     });
   });
 
-  it('gives room for one task to the entry that lacks most', () => {
+  it('gives capacity for one task to the dispatcher with the largest deficit', () => {
     const claims = [
-      { demand: 5, used: 4_000, isHome: true },
-      { demand: 5, used: 1_000, isHome: false },
+      { demand: 5, used: 4_000, isPreferred: true },
+      { demand: 5, used: 1_000, isPreferred: false },
     ];
     expect(divideCapacity(1_000, 1_000, claims)).to.deep.equal([0, 1_000]);
   });
 
-  it('prefers the home of the agent among equals', () => {
+  it('favors the preferred dispatcher among equal claims', () => {
     const claims = [
-      { demand: 5, used: 0, isHome: false },
-      { demand: 5, used: 0, isHome: true },
+      { demand: 5, used: 0, isPreferred: false },
+      { demand: 5, used: 0, isPreferred: true },
     ];
     expect(divideCapacity(1_000, 1_000, claims)).to.deep.equal([0, 1_000]);
   });
--- a/src/process/executor/executorMetrics.ts
+++ b/src/process/executor/executorMetrics.ts
@@ -1,28 +1,28 @@
 /** Metrics of an executor. */
 import type { MetricDefinition } from '../ServedMetrics.js';
 
-/** What the gauges read. */
+/** Sources of the gauges. */
 export interface ExecutorGauges {
   /** Counts tasks that wait or may run. */
   readonly readLoad: () => number;
-  /** Finds the version of the configuration that is kept for dispatchers. */
+  /** Reads the version of the configuration that is stored for dispatchers. */
   readonly readKeptVersion: () => number;
-  /** Counts entries at which tasks wait. */
-  readonly readWaitingEntries: () => number;
-  /** Sums the processor room that those ask for, thousandths of a core. */
+  /** Counts dispatchers at which tasks wait. */
+  readonly readWaitingDispatchers: () => number;
+  /** Sums the processor capacity that these tasks need, thousandths of a core. */
   readonly readDemand: () => number;
 }
 
 /**
  * Defines the metrics of an executor.
  *
- * @param gauges - where gauges are read
+ * @param gauges - sources of the gauges
  * @returns definitions by name
  */
 export function buildExecutorMetrics({
   readLoad,
   readKeptVersion,
-  readWaitingEntries,
+  readWaitingDispatchers: readWaitingDispatchers,
   readDemand,
 }: ExecutorGauges): Readonly<Record<string, MetricDefinition>> {
   return {
@@ -33,7 +33,7 @@
     executor_waiting_entries: {
       kind: 'gauge',
       help: 'Dispatchers at which tasks wait, as last told',
-      read: readWaitingEntries,
+      read: readWaitingDispatchers,
     },
     executor_demand_cpu_milli: {
       kind: 'gauge',
--- a/src/process/executor/isKnownService.ts
+++ b/src/process/executor/isKnownService.ts
@@ -1,10 +1,10 @@
 /**
- * Tells whether a service is one that upstreams have here: a report that names another one is of another writer.
+ * Checks whether a service is configured; a report with another service comes from a foreign writer.
  *
- * @param service - of a report
- * @param ownService - that the settings name; empty for none
- * @param services - that queues name; undefined while no configuration is known
- * @returns whether the settings or a queue name it; true where neither can tell
+ * @param service - service of a report
+ * @param ownService - service in the settings; empty for none
+ * @param services - services of the queues; undefined while there is no configuration
+ * @returns whether the settings or a queue contain it; true if there are neither settings nor a configuration
  * @example
  * isKnownService('quotes', 'quotes', undefined); // true
  */
--- a/src/process/executor/localTask.ts
+++ b/src/process/executor/localTask.ts
@@ -1,19 +1,19 @@
-/** A task at an agent: an attempt of an entry, and the run at the upstream that serves it. */
+/** A task at an executor: an attempt of a dispatcher, and its run at the upstream. */
 import { createMachine } from 'xstate';
 
 import { compileMachine } from '../../_lib/compileMachine.js';
 import type { StartOrder } from '../../connection/peer/peerMessages.js';
 import type { RunName } from '../../ports/UpstreamApi.js';
 
-/** Phase of a task at the agent. */
+/** Phase of a task at the executor. */
 export type LocalPhase = 'waiting' | 'starting' | 'running' | 'stopping' | 'ended';
 
-/** What can happen to it. */
+/** Events that change the phase. */
 export type LocalEvent = 'begin' | 'confirm' | 'stop' | 'end' | 'reject';
 
 /**
- * Life of a task at an agent. From `starting` on it may run at the upstream, and takes room until the upstream
- * has listed its end, has confirmed that it never began, or its lease is over.
+ * State machine of a task at an executor. From `starting` on it may run at the upstream, and uses capacity
+ * until the upstream has listed its end or confirmed that it never started, or its lease has expired.
  */
 export const localTaskMachine = createMachine({
   id: 'localTask',
@@ -30,28 +30,28 @@
 /** The transitions of `localTaskMachine`. */
 export const LOCAL_TASK_TABLE = compileMachine<LocalPhase, LocalEvent>(localTaskMachine);
 
-/** A task and what is known of its run. */
+/** A task and the state of its run. */
 export interface LocalTask {
   readonly key: string;
   readonly order: StartOrder;
-  /** Life of the entry that ordered it. */
+  /** Incarnation of the dispatcher that ordered it. */
   readonly owner: string;
   readonly receivedAt: number;
   phase: LocalPhase;
-  /** Number of its run at the upstream. */
+  /** Run number at the upstream. */
   run: number;
   /** When the first start was sent; undefined before. */
   sentAt: number | undefined;
-  /** Starts that were sent and not refused by the upstream's host: any of them may have been carried out. */
+  /** Number of sends of the start that may have been executed: those whose connection was not refused. */
   openSends: number;
-  /** When the upstream confirmed the start, or was first seen running it. */
+  /** When the upstream confirmed the start, or first listed the run. */
   confirmedAt: number | undefined;
   percent: number;
   /** When the percentage last changed. */
   percentAt: number;
   /** When the percentage was last read. */
   sampledAt: number;
-  /** Why it is being stopped; empty while it is not. */
+  /** Why it is being stopped; empty if it is not. */
   stopReason: string;
   /** When the upstream accepted the stop; undefined before. */
   stopAcceptedAt: number | undefined;
@@ -60,11 +60,11 @@
 /**
  * Creates a task from an order that has just arrived.
  *
- * @param key - of the task, from `buildTaskKey`
+ * @param key - key of the task, from `buildTaskKey`
  * @param order - the order
- * @param owner - life of the entry
+ * @param owner - incarnation of the dispatcher
  * @param now - monotonic time, ms
- * @returns the task, waiting
+ * @returns the waiting task
  */
 export function createLocalTask(key: string, order: StartOrder, owner: string, now: number): LocalTask {
   return {
@@ -86,7 +86,7 @@
 }
 
 /**
- * Names the run of a task at its upstream.
+ * Builds the name of a task's run at the upstream.
  *
  * @param task - the task
  * @returns its job, step, index and run
@@ -97,13 +97,13 @@
 }
 
 /**
- * Tells whether a task is one attempt of one entry.
+ * Checks whether a task is a certain attempt of a dispatcher.
  *
  * @param task - the task
- * @param key - of the task that is meant
+ * @param key - key of the task
  * @param attempt - number of the attempt
- * @param owner - life of the entry
- * @returns true if all three are the task's
+ * @param owner - incarnation of the dispatcher
+ * @returns true if all three match
  */
 export function isAttempt(task: LocalTask, key: string, attempt: number, owner: string): boolean {
   return task.key === key && task.order.name.attempt === attempt && task.owner === owner;
--- a/src/process/executor/sessionEvents.ts
+++ b/src/process/executor/sessionEvents.ts
@@ -1,4 +1,4 @@
-/** What a session with one life of an upstream keeps to, and what it tells its agent. */
+/** Timeouts and callbacks of a session with one incarnation of an upstream. */
 import type { AttemptEnd } from '../../connection/peer/peerMessages.js';
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
 import type { Resources } from '../../request/dispatch/submission.js';
@@ -6,33 +6,36 @@
 import type { LocalTask } from './localTask.js';
 import type { LeaseBounds } from './UpstreamCalls.js';
 
-/** What a session keeps to; durations in ms. */
+/** Timeouts and options of a session; durations in ms. */
 export interface SessionBounds extends LeaseBounds {
-  /** Time a stop may take at the upstream. */
+  /** Longest time that a stop takes at the upstream. */
   readonly stopMs: number;
-  /** How the speed of an upstream is measured; `mean` if undefined. */
+  /** Measure of the upstream's speed; `mean` if undefined. */
   readonly speedMeasure?: SpeedMeasureKind;
 }
 
-/** What a session tells the agent. */
+/** Callbacks of a session. */
 export interface SessionEvents {
-  /** A task is over. */
+  /** Called when a task has ended. */
   readonly finish: (task: LocalTask, end: AttemptEnd, reason: string) => void;
   /**
-   * The answer to a renewal that was sent then shows that this life is there and runs nothing that nobody here has
-   * ordered. Returns whether nothing of other lives can reach it any more.
+   * Called when the answer to a renewal sent at `sentAt` shows that this incarnation runs nothing unknown.
+   * Returns whether no call intended for another incarnation can reach it any more.
    */
   readonly settle: (sentAt: number) => boolean;
-  /** The same, for the first time: the life takes work once it is described. */
+  /** Called when that is the case for the first time: the incarnation takes work once it is described. */
   readonly join: () => void;
-  /** Another life answers under the same id. */
+  /** Called when another incarnation answers under the same id. */
   readonly findOtherLife: (bornAt: number, clockMs: number) => void;
-  /** Room or state has changed. */
+  /** Called when the free capacity or the state has changed. */
   readonly change: () => void;
-  /** The upstream has another capacity. */
+  /** Called when the total capacity of the upstream has changed. */
   readonly changeCapacity: (report: UpstreamReport, before: Resources) => void;
-  /** Called before the lease of what runs is renewed, by a start as well: stop what may not run on. */
+  /**
+   * Called before a renewal or a start extends the lease of all runs: stops tasks that may not run any
+   * longer.
+   */
   readonly revalidate: (now: number) => void;
-  /** A decision, for the log. */
+  /** Logs a decision. */
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
--- a/test/configurationLinks.test.ts
+++ b/test/configurationLinks.test.ts
@@ -124,13 +124,13 @@
     proxy.setRate(mbps);
     const linkPort = await proxy.start();
     const fleet = { maxLinks: 3, smallFleet: 6, linkPort };
-    const options = { agent: 'a1', failureDomain: 'x', ...fleet, pingMs: PING_MS, linkMbps: mbps };
+    const options = { executor: 'a1', failureDomain: 'x', ...fleet, pingMs: PING_MS, linkMbps: mbps };
     const log = (event: string): number => logged.push(event);
     links = new DispatcherLinks(options, createCore(), new SteadyClock(), log, () => 0);
     links.recordSeeds([`${HOST}:1`]);
     timer = setInterval(() => {
-      links.ping();
-      links.keep();
+      links.sendDuePings();
+      links.updateLinks();
     }, PING_MS / 3);
     await waitFor(() => entry.received.some(({ type }) => type === 'ping'));
   }
--- a/test/fakes/CapacityModelExecutor.ts
+++ b/test/fakes/CapacityModelExecutor.ts
@@ -76,7 +76,7 @@
     this.domain = failureDomain;
     this.name = `a${index}`;
     this.id = `${this.name}@${life}`;
-    const identity = { agent: this.name, life: `${life}`, failureDomain, startedAt: 1_000_000 * life };
+    const identity = { id: this.name, incarnation: `${life}`, failureDomain, startedAt: 1_000_000 * life };
     const bounds = { ...times, maxLeaseMs: 1_000, stopMs: 50 };
     const effects = {
       openApi: () => new ModelUpstream(time, findWork),
--- a/test/fakes/DispatchWorld.ts
+++ b/test/fakes/DispatchWorld.ts
@@ -508,8 +508,8 @@
   private createCore(index: number, life: number, gate: ProcessGate, find: () => WorldAgent): Executor {
     return new Executor(
       {
-        agent: `agent-${index}`,
-        life: String(life),
+        id: `agent-${index}`,
+        incarnation: String(life),
         failureDomain: findDomain({ index }),
         startedAt: FIRST_START_MS + this.clock.now(),
       },
--- a/test/suspendedVms.test.ts
+++ b/test/suspendedVms.test.ts
@@ -41,7 +41,7 @@
     );
     upstream.taskMs = LONG_TASK_MS;
     core = new Executor(
-      { agent: 'agent', life: '1', failureDomain: 'x', startedAt: 1_000_000 },
+      { id: 'agent', incarnation: '1', failureDomain: 'x', startedAt: 1_000_000 },
       { leaseMs: LEASE_MS, maxLeaseMs: 1_000, stopMs: 50, orphanAfterMs: ORPHAN_AFTER_MS },
       vm,
       {
