--- a/bench/buildValidatorModules.ts
+++ b/bench/buildValidatorModules.ts
@@ -2,7 +2,7 @@
 import standalone from 'ajv/dist/standalone/index.js';
 
 import {
-  BEAT_SCHEMA,
+  HEARTBEAT_SCHEMA,
   CONFIGURATION_SCHEMA,
   EVACUATION_SCHEMA,
   HOLD_SCHEMA,
@@ -11,7 +11,7 @@
   NEWEST_ITEM_SCHEMA,
   NEWEST_SCHEMA,
   ORDER_ANSWER_SCHEMA,
-  REMEMBERED_REPORT_SCHEMA,
+  STORED_REPORT_SCHEMA,
   ROUTE_SCHEMA,
 } from '../platform/wireSchemas.js';
 import { PEER_SCHEMAS } from '../src/connection/peer/peerSchemas.js';
@@ -29,13 +29,13 @@
     validateConfiguration: CONFIGURATION_SCHEMA,
     validateRoute: ROUTE_SCHEMA,
     validateEvacuation: EVACUATION_SCHEMA,
-    validateBeat: BEAT_SCHEMA,
+    validateBeat: HEARTBEAT_SCHEMA,
     validateLeave: LEAVE_SCHEMA,
     validateOrderAnswer: ORDER_ANSWER_SCHEMA,
     validateHold: HOLD_SCHEMA,
     validateNewest: NEWEST_SCHEMA,
     validateNewestItem: NEWEST_ITEM_SCHEMA,
-    validateRememberedReport: REMEMBERED_REPORT_SCHEMA,
+    validateRememberedReport: STORED_REPORT_SCHEMA,
   },
   'src/connection/peer/peerValidators.generated': Object.fromEntries(
     Object.entries(PEER_SCHEMAS).map(([type, schema]) => [buildPeerName(type), schema]),
--- a/src/connection/AnswerTimeout.ts
+++ b/src/connection/AnswerTimeout.ts
@@ -1,23 +1,23 @@
 /**
- * How long to wait for an answer, from how long answers took: the smoothed time plus four times its deviation, doubled
- * while none comes, as TCP computes its retransmission time-out (RFC 6298).
+ * Adaptive timeout: the smoothed response time plus four times its deviation, doubled with each timeout, as
+ * TCP computes its retransmission timeout (RFC 6298).
  */
 
-/** Weight of the newest answer in the smoothed time, and in its deviation. */
-const TIME_WEIGHT = 1 / 8;
+/** Weight of the newest response time in the smoothed time, and in its deviation. */
+const SMOOTHING_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
-/** Deviations that are added to the smoothed time. */
-const DEVIATIONS = 4;
+/** Number of deviations added to the smoothed time. */
+const DEVIATION_FACTOR = 4;
 
-/** Bounds of a time-out, ms. */
+/** Bounds of a timeout, ms. */
 export interface TimeoutBounds {
   readonly minMs: number;
   readonly maxMs: number;
-  /** Before the first answer. */
+  /** Timeout before the first answer. */
   readonly firstMs: number;
 }
 
-/** Time-out of what one peer is asked. */
+/** Timeout of requests to one peer. */
 export class AnswerTimeout {
   private smoothedMs: number | undefined;
   private deviationMs = 0;
@@ -25,8 +25,8 @@
 
   constructor(private readonly bounds: TimeoutBounds) {}
 
-  /** Notes an answer. */
-  noteAnswer(tookMs: number): void {
+  /** Records the response time of an answer and resets the backoff. */
+  recordAnswer(tookMs: number): void {
     this.backoff = 1;
     if (this.smoothedMs === undefined) {
       this.smoothedMs = tookMs;
@@ -34,19 +34,19 @@
       return;
     }
     this.deviationMs += DEVIATION_WEIGHT * (Math.abs(tookMs - this.smoothedMs) - this.deviationMs);
-    this.smoothedMs += TIME_WEIGHT * (tookMs - this.smoothedMs);
+    this.smoothedMs += SMOOTHING_WEIGHT * (tookMs - this.smoothedMs);
   }
 
-  /** Notes that no answer came in time: the next is waited for twice as long. */
-  noteSilence(): void {
-    if (this.read() < this.bounds.maxMs) this.backoff *= 2;
+  /** Records a timeout and doubles the next one, up to the maximum. */
+  recordTimeout(): void {
+    if (this.compute() < this.bounds.maxMs) this.backoff *= 2;
   }
 
-  /** Time to wait for the next answer, ms. */
-  read(): number {
+  /** Returns the timeout of the next request, ms. */
+  compute(): number {
     const { minMs, maxMs, firstMs } = this.bounds;
     if (this.smoothedMs === undefined) return Math.min(maxMs, firstMs * this.backoff);
-    const timeoutMs = this.smoothedMs + DEVIATIONS * this.deviationMs;
+    const timeoutMs = this.smoothedMs + DEVIATION_FACTOR * this.deviationMs;
     return Math.min(maxMs, Math.max(minMs, timeoutMs) * this.backoff);
   }
 }
--- a/src/connection/LinkHub.ts
+++ b/src/connection/LinkHub.ts
@@ -1,4 +1,4 @@
-/** All links of one process: those it dials and those it accepts, with one outgoing batch a turn for each. */
+/** The dialed and accepted links of a process, with one outgoing batch per link and event loop turn. */
 import { Client, Server, ServerCredentials, credentials } from '@grpc/grpc-js';
 import type { ClientDuplexStream, ServerDuplexStream } from '@grpc/grpc-js';
 import { createActor } from 'xstate';
@@ -15,17 +15,17 @@
 } from './linkProtocol.js';
 import type { Hello, Message } from './messages.js';
 
-/** What a hub tells the process that owns it. */
+/** Callbacks of a hub to its owner. */
 export interface LinkEvents {
-  /** Returns the first message of a new link. */
+  /** Builds the first message of a new link. */
   readonly buildHello: () => Hello;
-  /** A link is in use. */
+  /** A link was opened. */
   readonly open: (hello: Hello) => void;
-  /** The newest link of a peer is gone. */
+  /** The newest link of a peer was closed. */
   readonly close: (peer: string) => void;
-  /** Messages of one batch. */
+  /** A batch of messages was received. */
   readonly receive: (peer: string, messages: readonly Message[]) => void;
-  /** Something was refused; for the log. */
+  /** A link was rejected; for the log. */
   readonly refuse: (reason: string) => void;
 }
 
@@ -40,20 +40,20 @@
   peer: string;
 }
 
-/** Counts of what a hub sent, for metrics and reports. */
+/** Counters of sent data, for metrics and reports. */
 export interface LinkCounts {
   readonly messages: Map<string, number>;
   batches: number;
-  /** Bytes of encoded batches, both those of dialed and of accepted links. */
+  /** Bytes of encoded batches on dialed and accepted links. */
   bytes: number;
 }
 
-/** Most accepted links; strangers with the secret cannot exhaust the process by more. */
-const MAX_ACCEPTED = 4_096;
-/** How long an accepted stream may take to say hello, ms. */
+/** Maximum number of accepted links, which bounds the resources that peers can use up. */
+const MAX_ACCEPTED_LINKS = 4_096;
+/** Timeout for the hello message of an accepted stream, ms. */
 const HELLO_TIMEOUT_MS = 5_000;
 
-/** Keeps the links of one process. */
+/** Opens, accepts and closes the links of one process. */
 export class LinkHub {
   readonly counts: LinkCounts = { messages: new Map(), batches: 0, bytes: 0 };
   private readonly method = buildLinkMethod((bytes) => (this.counts.bytes += bytes));
@@ -69,7 +69,7 @@
     private readonly events: LinkEvents,
   ) {}
 
-  /** Starts accepting links and returns the port. */
+  /** Starts accepting links and returns the bound port. */
   async listen(host: string, port: number): Promise<number> {
     const definition = { link: { ...this.method, originalName: 'link' } };
     this.server.addService(definition as never, {
@@ -83,7 +83,7 @@
     });
   }
 
-  /** Keeps a link to an address until `hangUp`. */
+  /** Opens a link to an address and reopens it until `hangUp`. */
   dial(address: string): void {
     if (this.dialed.has(address) || this.stopping) return;
     const client = new Client(address, credentials.createInsecure(), LINK_OPTIONS);
@@ -96,7 +96,7 @@
     actor.start();
   }
 
-  /** Ends the link to an address. */
+  /** Closes the link to an address. */
   hangUp(address: string): void {
     const link = this.dialed.get(address);
     if (!link) return;
@@ -106,12 +106,12 @@
     link.client.close();
   }
 
-  /** Addresses that are dialed. */
+  /** Addresses to which links are maintained. */
   get addresses(): IterableIterator<string> {
     return this.dialed.keys();
   }
 
-  /** Queues a message for the batch of this turn; without a link it is dropped. */
+  /** Queues a message for the batch of this turn; it is dropped when there is no link. */
   send(peer: string, message: Message): void {
     const batch = this.outgoing.get(peer);
     if (batch) batch.push(message);
@@ -129,7 +129,7 @@
     this.outgoing.clear();
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   stop(): void {
     this.stopping = true;
     for (const address of [...this.dialed.keys()]) this.hangUp(address);
@@ -154,47 +154,49 @@
     );
     link.stream = stream;
     stream.write([this.events.buildHello()]);
-    this.follow(stream, {
-      greet: (hello) => {
+    this.readStream(stream, {
+      onHello: (hello) => {
         link.peer = hello.peer;
         link.actor.send({ type: 'open' });
       },
-      end: () => link.actor.send({ type: 'break' }),
+      onEnd: () => link.actor.send({ type: 'break' }),
     });
   }
 
   private accept(stream: ServerDuplexStream<Message[], readonly Message[]>): void {
-    if (!equalSecrets(readLinkSecret(stream.metadata), this.secret) || this.accepted >= MAX_ACCEPTED) {
+    if (!equalSecrets(readLinkSecret(stream.metadata), this.secret) || this.accepted >= MAX_ACCEPTED_LINKS) {
       this.events.refuse('link-secret');
       stream.end();
       return;
     }
     this.accepted += 1;
     const timer = setTimeout(() => stream.end(), HELLO_TIMEOUT_MS);
-    this.follow(stream, {
-      greet: () => {
+    this.readStream(stream, {
+      onHello: () => {
         clearTimeout(timer);
         stream.write([this.events.buildHello()]);
       },
-      end: () => {
+      onEnd: () => {
         clearTimeout(timer);
         this.accepted -= 1;
       },
     });
   }
 
-  /** Reads a stream: first its hello, then batches; messages of a stream that a newer one replaced are dropped. */
-  private follow(stream: Stream, handlers: { greet: (hello: Hello) => void; end: () => void }): void {
+  /**
+   * Reads the hello and then batches; messages on a stream that a newer one of the peer replaced are dropped.
+   */
+  private readStream(stream: Stream, handlers: { onHello: (hello: Hello) => void; onEnd: () => void }): void {
     let peer = '';
     let ended = false;
     stream.on('data', (messages: Message[]) => {
       let rest = messages;
       if (peer === '') {
         const hello = messages[0];
-        if (hello?.type !== 'hello') return this.endStream(stream, 'no-hello');
+        if (hello?.type !== 'hello') return this.rejectStream(stream, 'no-hello');
         peer = hello.peer;
         this.streams.set(peer, stream);
-        handlers.greet(hello);
+        handlers.onHello(hello);
         this.events.open(hello);
         rest = messages.slice(1);
       }
@@ -208,7 +210,7 @@
         this.streams.delete(peer);
         this.events.close(peer);
       }
-      handlers.end();
+      handlers.onEnd();
       stream.end();
     };
     stream.on('end', finish);
@@ -217,7 +219,7 @@
     stream.on('cancelled', finish);
   }
 
-  private endStream(stream: Stream, reason: string): void {
+  private rejectStream(stream: Stream, reason: string): void {
     this.events.refuse(reason);
     stream.end();
   }
--- a/src/connection/PlatformClient.ts
+++ b/src/connection/PlatformClient.ts
@@ -1,4 +1,4 @@
-/** Client of the platform: its append-only log and its list of live VMs. */
+/** Client of the platform's append-only log and its list of live VMs. */
 import { Pool } from 'undici';
 
 import { PlatformError } from '../_lib/errors.js';
@@ -11,16 +11,16 @@
   /** `host:port` of its links. */
   readonly address: string;
   readonly failureDomain: string;
-  /** True once the platform is about to take the VM away. */
+  /** Whether the platform is about to remove the VM. */
   readonly leaving: boolean;
 }
 
-/** Longest wait for an answer of the platform beyond a long poll, ms. */
+/** Timeout of a call, beyond the wait of a long poll, ms. */
 const TIMEOUT_MS = 3_000;
-/** Connections to the platform: one for the long poll, one for the rest. */
+/** One connection may be held by a long poll. */
 const CONNECTIONS = 3;
 
-/** Talks to the platform. Every method throws PlatformError when it is down or slow. */
+/** Calls the platform. Every method rejects with a PlatformError when the platform is down or slow. */
 export class PlatformClient {
   private readonly pool: Pool;
 
@@ -29,11 +29,11 @@
   }
 
   /**
-   * Reads records.
+   * Reads records of the log.
    *
-   * @param from - first offset wanted
-   * @param waitMs - how long the platform may hold an empty answer
-   * @returns records in offset order; all that are retained when the wanted one has expired
+   * @param from - offset of the first record
+   * @param waitMs - how long the platform may wait for a record before it answers, ms
+   * @returns records in offset order; all retained ones when the requested offset has expired
    * @throws PlatformError
    */
   async readLog(from: number, waitMs: number): Promise<readonly LogEntry[]> {
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Appends a record. After an error it may have taken effect; its id makes a repeat harmless.
+   * Appends a record. It may have been appended despite an error; its id makes a retry idempotent.
    *
-   * @param record - what to append
+   * @param record - the record
    * @returns its offset
    * @throws PlatformError
    */
@@ -54,9 +54,9 @@
   }
 
   /**
-   * Reads the live list.
+   * Reads the list of live VMs.
    *
-   * @returns the VMs, as the platform knew them some time ago
+   * @returns the VMs; the list may be out of date
    * @throws PlatformError
    */
   async listLive(): Promise<readonly LiveVm[]> {
@@ -64,7 +64,7 @@
   }
 
   /**
-   * Tells the stand-in platform that this VM is live; a real platform knows it by itself.
+   * Reports this VM as live to the stand-in platform; a real platform detects it itself.
    *
    * @param vm - this VM
    * @throws PlatformError
@@ -73,7 +73,7 @@
     await this.call('PUT', `/live/${encodeURIComponent(vm.id)}`, vm, TIMEOUT_MS);
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.pool.destroy();
   }
--- a/src/connection/UpstreamClient.ts
+++ b/src/connection/UpstreamClient.ts
@@ -1,33 +1,33 @@
-/** Client of the upstream beside an agent. */
+/** Client of the upstream on an agent's VM. */
 import { Pool } from 'undici';
 
 import type { UpstreamOutcome } from '../process/agent/endTask.js';
 
-/** What the upstream is asked to do. */
+/** A task for the upstream. */
 export interface UpstreamRequest {
   /** `job/index`, for the upstream's records. */
   readonly taskId: string;
   readonly kind: string;
   /** JSON text. */
   readonly body: string;
-  /** Latest useful finish, ms since the epoch. */
+  /** Deadline, ms since the epoch. */
   readonly deadline: number;
 }
 
 /** Largest answer of an upstream, bytes. */
 const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
-/** Longest wait for a connection, ms. */
+/** Timeout of a connection attempt, ms. */
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Error codes that prove that no request left. */
+/** Error codes after which no request was sent. */
 const UNSENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'UND_ERR_CONNECT_TIMEOUT',
   'EHOSTUNREACH',
 ]);
-/** Status of an answer that is not JSON, or too large: the task ran, its answer is of no use. */
+/** Status of a task whose answer is not JSON or is too large. */
 const BAD_GATEWAY = 502;
 
-/** Sends tasks to one upstream over a bounded pool of connections. Nothing is ever sent twice. */
+/** Sends tasks to one upstream over a bounded connection pool, without retries. */
 export class UpstreamClient {
   private readonly pool: Pool;
 
@@ -45,7 +45,7 @@
   }
 
   /**
-   * Sends one task and waits for its answer.
+   * Sends a task and waits for its answer.
    *
    * @param request - the task
    * @returns the answer; `unsent` when no connection was made; `lost` when the task may have run
@@ -68,18 +68,18 @@
     }
   }
 
-  /** Tells whether the upstream accepts connections. */
+  /** Checks whether the upstream accepts connections. */
   async probe(): Promise<boolean> {
     try {
       const response = await this.pool.request({ method: 'GET', path: '/healthz' });
       await response.body.dump();
       return true;
     } catch (error) {
-      return !UNSENT_CODES.has(findCode(error));
+      return !UNSENT_CODES.has(readErrorCode(error));
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.pool.destroy();
   }
@@ -95,16 +95,16 @@
     size += chunk.length;
     if (size > MAX_ANSWER_BYTES) {
       response.body.destroy();
-      return buildGarbage('answer-too-large');
+      return buildBadGateway('answer-too-large');
     }
     chunks.push(chunk);
   }
   const body = Buffer.concat(chunks).toString('utf8');
-  if (!isJson(body)) return buildGarbage('answer-not-json');
+  if (!isJson(body)) return buildBadGateway('answer-not-json');
   return { type: 'answered', status: response.statusCode, body };
 }
 
-function buildGarbage(error: string): UpstreamOutcome {
+function buildBadGateway(error: string): UpstreamOutcome {
   return { type: 'answered', status: BAD_GATEWAY, body: JSON.stringify({ error }) };
 }
 
@@ -118,12 +118,12 @@
 }
 
 function classifyError(error: unknown): UpstreamOutcome {
-  const code = findCode(error);
+  const code = readErrorCode(error);
   if (UNSENT_CODES.has(code)) return { type: 'unsent', reason: 'upstream-down' };
   return { type: 'lost', reason: code || 'upstream-lost' };
 }
 
-function findCode(error: unknown): string {
-  if (error instanceof AggregateError) return findCode(error.errors[0]);
+function readErrorCode(error: unknown): string {
+  if (error instanceof AggregateError) return readErrorCode(error.errors[0]);
   return String((error as { code?: unknown } | undefined)?.code ?? '');
 }
--- a/src/connection/codec.ts
+++ b/src/connection/codec.ts
@@ -1,13 +1,13 @@
-/** Turns batches of messages into bytes and back, by the generated protobuf code. */
+/** Encodes and decodes batches of messages with the generated protobuf code. */
 import { UnknownMessageError } from '../_lib/errors.js';
 import { marblehall as wire } from './wire.generated.js';
 import type { Message } from './messages.js';
 
 /**
- * Encodes the messages of one loop turn.
+ * Encodes the messages of one event loop turn.
  *
- * @param messages - in the order they were produced
- * @returns the bytes of one `Batch`
+ * @param messages - messages in the order of sending
+ * @returns an encoded `Batch`
  * @example
  * decodeBatch(encodeBatch([{ type: 'leaving', done: true }]))[0].type; // 'leaving'
  */
@@ -19,8 +19,8 @@
 /**
  * Decodes one batch.
  *
- * @param bytes - of one `Batch`
- * @returns its messages
+ * @param bytes - an encoded `Batch`
+ * @returns the messages
  * @throws UnknownMessageError when an envelope is empty; RangeError or Error when the bytes are malformed
  * @example
  * decodeBatch(encodeBatch([])).length; // 0
--- a/src/connection/compareEpochs.ts
+++ b/src/connection/compareEpochs.ts
@@ -1,14 +1,14 @@
 import type { Epoch } from './messages.js';
 
-/** The epoch below every granted one. */
+/** Lower than every granted epoch. */
 export const NO_EPOCH: Epoch = { version: -1, counter: 0 };
 
 /**
- * Orders two fencing epochs.
+ * Compares two fencing epochs.
  *
  * @param left - one epoch
  * @param right - the other
- * @returns negative, zero or positive as `left` is lower, equal or higher
+ * @returns a negative number, 0 or a positive number when `left` is lower, equal or higher
  * @example
  * compareEpochs({ version: 1, counter: 9 }, { version: 2, counter: 0 }) < 0; // true
  */
--- a/src/connection/http/collectBody.test.ts
+++ b/src/connection/http/collectBody.test.ts
@@ -37,7 +37,7 @@
     });
   }
 
-  it('collects all parts', async () => {
+  it('collects all chunks', async () => {
     await post(await serve(), ['one ', 'two'], true);
     expect((await collected).toString()).to.equal('one two');
   });
@@ -47,12 +47,12 @@
     expect((await collected).toString()).to.equal('');
   });
 
-  it('gives up past the bound', async () => {
+  it('rejects a body above the limit', async () => {
     await post(await serve(4), ['one ', 'two'], true);
     expect(await collected).to.equal('too-large');
   });
 
-  it('tells a body that was cut', async () => {
+  it('reports a truncated body', async () => {
     await post(await serve(), ['one '], false);
     expect(await collected).to.equal('cut');
   });
--- a/src/connection/http/collectBody.ts
+++ b/src/connection/http/collectBody.ts
@@ -1,15 +1,15 @@
 import type { IncomingMessage } from 'node:http';
 
-/** A whole body, or why there is none. */
+/** The whole body, or why it is missing. */
 export type CollectedBody = Buffer | 'too-large' | 'cut';
 
 /**
- * Collects the body of a request or an answer up to a bound. By events: an async iterator over the message costs more
- * processor time than all else that is done with a short body.
+ * Collects the body of a request or an answer up to a limit. It listens to events, which use less CPU time
+ * for short bodies than an async iterator over the message.
  *
- * @param message - request or answer whose body nobody reads yet
- * @param maxBytes - the bound
- * @returns the bytes; `too-large` past the bound; `cut` when the connection broke before the end
+ * @param message - request or answer whose body has not been read
+ * @param maxBytes - the limit, bytes
+ * @returns the bytes; `too-large` above the limit; `cut` when the connection closed before the end
  */
 export function collectBody(message: IncomingMessage, maxBytes = Infinity): Promise<CollectedBody> {
   const declared = Number(message.headers['content-length'] ?? 0);
--- a/src/connection/http/readBody.ts
+++ b/src/connection/http/readBody.ts
@@ -2,17 +2,17 @@
 
 import { collectBody } from './collectBody.js';
 
-/** A body, or why there is none. */
+/** The body, or why it is missing. */
 export type BodyRead =
   | { readonly ok: true; readonly text: string; readonly bytes: Buffer }
   | { readonly ok: false; readonly reason: 'too-large' | 'cut' };
 
 /**
- * Reads a request's body up to a bound. A larger one is given up before it is read whole.
+ * Reads the body of a request up to a limit. A larger body is rejected as soon as it exceeds the limit.
  *
  * @param request - the request
- * @param maxBytes - the bound
- * @returns the text; `too-large` past the bound; `cut` when the connection broke
+ * @param maxBytes - the limit, bytes
+ * @returns the body; `too-large` above the limit; `cut` when the connection closed before the end
  */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<BodyRead> {
   const bytes = await collectBody(request, maxBytes);
--- a/src/connection/http/writeAnswer.ts
+++ b/src/connection/http/writeAnswer.ts
@@ -3,16 +3,20 @@
 import type { JobAnswer } from '../../request/job.js';
 import { writeJson } from './writeJson.js';
 
-/** Reasons for which a refusal is 429: the caller's own haste; the others are 503. */
-const TOO_MANY_REASONS: ReadonlySet<string> = new Set(['caller-share', 'team-share', 'too-many-jobs']);
-/** Reasons for which a failure is 504: nobody answered in time. */
+/** Reasons for which a refusal is 429, since the caller exceeds its own limits; other refusals are 503. */
+const TOO_MANY_REQUESTS_REASONS: ReadonlySet<string> = new Set([
+  'caller-share',
+  'team-share',
+  'too-many-jobs',
+]);
+/** Reasons for which a failure is 504, since an answer was not received in time; other failures are 502. */
 const TIMEOUT_REASONS: ReadonlySet<string> = new Set(['deadline', 'claim-timeout', 'late']);
 
 /**
- * Answers a caller with a job's outcome.
+ * Sends the outcome of a job to the caller.
  *
- * @param response - the caller's response
- * @param job - the job's key
+ * @param response - response to the caller
+ * @param job - key of the job
  * @param answer - the outcome
  */
 export function writeAnswer(response: ServerResponse, job: string, answer: JobAnswer): void {
@@ -29,7 +33,7 @@
   const headers: Record<string, string> = {};
   if (retryAfterMs > 0) headers['retry-after'] = String(Math.ceil(retryAfterMs / 1_000));
   if (answer.outcome === 'refused') {
-    const status = TOO_MANY_REASONS.has(reason) ? 429 : 503;
+    const status = TOO_MANY_REQUESTS_REASONS.has(reason) ? 429 : 503;
     const body = { job, outcome: 'refused', ran: 'not-run', reason, retryAfterMs };
     return writeJson(response, status, JSON.stringify(body), headers);
   }
--- a/src/connection/http/writeJson.ts
+++ b/src/connection/http/writeJson.ts
@@ -3,7 +3,7 @@
 /**
  * Answers a request with JSON text.
  *
- * @param response - the response, if its connection is still there
+ * @param response - the response; a closed one is ignored
  * @param status - HTTP status
  * @param text - JSON text
  * @param headers - further headers
--- a/src/connection/linkMachine.ts
+++ b/src/connection/linkMachine.ts
@@ -1,10 +1,10 @@
 import { setup } from 'xstate';
 
-/** First wait before a link is dialed again, ms. */
+/** Pause before a link is dialed again, ms. */
 const RETRY_MS = 200;
 
 /**
- * Life of a dialed link. The actor's owner dials when it enters `dialing` and reports what happens.
+ * States of a dialed link. The actor's owner dials when it enters `dialing` and sends the events.
  */
 export const linkMachine = setup({
   types: { events: {} as { type: 'open' } | { type: 'break' } | { type: 'stop' } },
--- a/src/connection/linkProtocol.ts
+++ b/src/connection/linkProtocol.ts
@@ -1,4 +1,4 @@
-/** The one gRPC method between processes: a stream of batches in each direction. */
+/** The gRPC method between processes: a bidirectional stream of batches. */
 import { Metadata } from '@grpc/grpc-js';
 import type { ChannelOptions, MethodDefinition } from '@grpc/grpc-js';
 
@@ -17,7 +17,7 @@
 /**
  * Builds the definition of the method for server and client.
  *
- * @param countBytes - told the size of each batch that is sent
+ * @param countBytes - called with the size of each sent batch
  * @returns the definition
  */
 export function buildLinkMethod(
@@ -39,7 +39,7 @@
   };
 }
 
-/** Channel options of both ends: a dead peer is noticed by pings, and nothing is retried below us. */
+/** Channel options of both ends: keepalive pings detect dead peers, and gRPC retries no calls. */
 export const LINK_OPTIONS: ChannelOptions = {
   'grpc.max_receive_message_length': MAX_BATCH_BYTES,
   'grpc.max_send_message_length': MAX_BATCH_BYTES,
@@ -53,9 +53,9 @@
 };
 
 /**
- * Puts the shared secret into a link's metadata.
+ * Builds the metadata of a link with the shared secret.
  *
- * @param secret - from the settings
+ * @param secret - secret of the settings
  * @returns the metadata
  */
 export function buildLinkMetadata(secret: string): Metadata {
@@ -65,9 +65,9 @@
 }
 
 /**
- * Reads the shared secret of a link's metadata.
+ * Reads the shared secret from the metadata of a link.
  *
- * @param metadata - of the call
+ * @param metadata - metadata of the call
  * @returns the secret, or an empty string
  */
 export function readLinkSecret(metadata: Metadata): string {
--- a/src/connection/messages.ts
+++ b/src/connection/messages.ts
@@ -1,15 +1,17 @@
 /**
- * The messages between processes, as the decision core sees them. The fields are those of `wire.proto`;
- * `type` names the member of the envelope that carries the message.
+ * Messages between processes. The fields are those of `wire.proto`; `type` is the member of the envelope that
+ * carries the message.
  */
 
-/** Fencing epoch of a job: the registrar's tenure, then its counter. A higher epoch ends a lower one. */
+/**
+ * Fencing epoch of a job: the registrar's tenure, then its counter. A higher epoch supersedes a lower one.
+ */
 export interface Epoch {
   readonly version: number;
   readonly counter: number;
 }
 
-/** First message on a link, from both ends. */
+/** First message of both ends of a link. */
 export interface Hello {
   readonly type: 'hello';
   /** `id@incarnation` of the sender. */
@@ -25,49 +27,49 @@
   readonly leaving: boolean;
 }
 
-/** Sent on an idle link; `reply` asks the peer for one back. */
+/** Sent on an idle link; `reply` requests a heartbeat from the peer. */
 export interface Heartbeat {
   readonly type: 'heartbeat';
   readonly offset: number;
-  /** How many registrars the sender heard within the lease. */
+  /** Number of registrars from which the sender received a message within the lease. */
   readonly registrarsHeard: number;
-  /** Whether the sender itself read the log within the lease. */
+  /** Whether the sender read the log within the lease. */
   readonly heardLog: boolean;
   readonly reply: boolean;
   /** Agent to entry: credits granted on this link so far. */
   readonly granted: number;
 }
 
-/** Entry to agent: start one task unless it started already. */
+/** Entry to agent: start a task unless it has already started. */
 export interface Start {
   readonly type: 'start';
   readonly job: string;
   readonly createdAt: number;
   readonly epoch: Epoch;
   readonly index: number;
-  /** Counts the sends of this task that a refusal freed; an agent refuses an attempt it refused before. */
+  /** Number of earlier sends that were refused; an agent refuses an attempt that it refused before. */
   readonly attempt: number;
   readonly kind: string;
   /** JSON text. */
   readonly body: string;
-  /** Latest useful finish, ms since the epoch. */
+  /** Deadline, ms since the epoch. */
   readonly deadline: number;
-  /** Order among waiting tasks; lower first. */
+  /** Order among waiting tasks; lower ranks first. */
   readonly rank: number;
-  /** Credits used on this link so far, this one included. */
+  /** Credits used on this link so far, including this start. */
   readonly used: number;
-  /** Tasks that still wait in the entry. */
+  /** Number of tasks that wait in the entry. */
   readonly waiting: number;
-  /** Rank of the first of them. */
+  /** Lowest rank among the waiting tasks. */
   readonly headRank: number;
-  /** True when the entry only asks again for a task it sent already. */
+  /** Whether the entry repeats a start that it has already sent. */
   readonly again: boolean;
 }
 
 /** State of a task in an agent's table. */
 export type AgentTaskState = 'waiting' | 'running' | 'finished' | 'refused' | 'unknown';
 
-/** Agent to entry: what became of a start. */
+/** Agent to entry: outcome of a start. */
 export interface Result {
   readonly type: 'result';
   readonly job: string;
@@ -75,17 +77,17 @@
   readonly index: number;
   readonly attempt: number;
   readonly state: string;
-  /** HTTP status of the upstream's answer when finished. */
+  /** HTTP status of the upstream's answer; set when finished. */
   readonly status: number;
   readonly body: string;
   readonly reason: string;
   /** Credits granted on this link so far. */
   readonly granted: number;
-  /** Time the upstream took, ms. */
+  /** Run time of the task at the upstream, ms. */
   readonly workMs: number;
 }
 
-/** Entry to agent: how much waits, when no start carries it. */
+/** Entry to agent: waiting tasks, sent when no start carries them. */
 export interface Demand {
   readonly type: 'demand';
   readonly waiting: number;
@@ -93,13 +95,15 @@
   readonly used: number;
 }
 
-/** Agent to entry: credits granted on this link so far, when no result carries them. */
+/** Agent to entry: credits granted on this link so far, sent when no result carries them. */
 export interface Credit {
   readonly type: 'credit';
   readonly granted: number;
 }
 
-/** Entry to agent: these answers are held by the entry; the agent may drop their bodies when short of room. */
+/**
+ * Entry to agent: the entry has received these answers; the agent may drop their bodies when short of memory.
+ */
 export interface Ack {
   readonly type: 'ack';
   readonly jobs: readonly AckedJob[];
@@ -111,14 +115,14 @@
   readonly indexes: readonly number[];
 }
 
-/** Entry to agent: the job has failed; start none of its waiting tasks. */
+/** Entry to agent: the job has failed; its waiting tasks must not start. */
 export interface Cancel {
   readonly type: 'cancel';
   readonly job: string;
   readonly epoch: Epoch;
 }
 
-/** New owner to agent: fence the job below this epoch and say what started. */
+/** New owner to agent: fence the job below this epoch and report its tasks. */
 export interface Sweep {
   readonly type: 'sweep';
   readonly job: string;
@@ -133,47 +137,47 @@
   readonly state: string;
   readonly status: number;
   readonly body: string;
-  /** False when the answer was acknowledged and its body dropped. */
+  /** False when the answer was acknowledged and its body was dropped. */
   readonly hasBody: boolean;
 }
 
-/** Agent to new owner: every task of the job that the agent knows. */
+/** Agent to new owner: all tasks of the job in the agent's table. */
 export interface Swept {
   readonly type: 'swept';
   readonly job: string;
   readonly epoch: Epoch;
-  /** True when the agent already knows a higher epoch. */
+  /** Whether the agent has already received a higher epoch. */
   readonly fenced: boolean;
   readonly tasks: readonly SweptTask[];
 }
 
-/** What a claim asks for. */
+/** Kind of a claim. */
 export type ClaimMode = 'claim' | 'lookup' | 'widen' | 'takeover';
 
-/** Entry to registrar. */
+/** Entry to registrar: request for the ownership of a job. */
 export interface Claim {
   readonly type: 'claim';
   readonly id: number;
   readonly job: string;
   readonly createdAt: number;
-  /** Hash of the job's contents. */
+  /** Hash of the job's content. */
   readonly digest: string;
-  /** The agent set that the job may use. */
+  /** Id of the agent set that the job may use. */
   readonly setId: number;
   readonly mode: string;
-  /** Takeover only: the epoch that the claimer believes current. */
+  /** Current epoch as assumed by the claimer; takeover only. */
   readonly expected: Epoch;
   readonly offset: number;
 }
 
 /**
- * Outcome of a claim. `granted`: the asker owns the job. `owned`: another does. `none`: a lookup found no
- * claim. `pending`: ask again shortly. `unknown`: the key's history is lost. `denied`: the registrar or
- * the entry may not claim now.
+ * Outcome of a claim. `granted`: the claimer owns the job. `owned`: another entry owns it. `none`: a lookup
+ * found no claim. `pending`: the claimer should retry shortly. `unknown`: the history of the key is lost.
+ * `denied`: the registrar or the entry may not claim at present.
  */
 export type ClaimOutcome = 'granted' | 'owned' | 'none' | 'pending' | 'unknown' | 'denied';
 
-/** Registrar to entry. */
+/** Registrar to entry: answer to a claim. */
 export interface Claimed {
   readonly type: 'claimed';
   readonly id: number;
@@ -181,12 +185,12 @@
   readonly outcome: string;
   readonly epoch: Epoch;
   readonly owner: string;
-  /** Agents that owners of the job so far may have used. */
+  /** Agents that any owner of the job may have used. */
   readonly members: readonly string[];
   readonly digest: string;
 }
 
-/** Entry to registrar: names a set of agent incarnations for later claims. */
+/** Entry to registrar: defines a set of agent incarnations for later claims. */
 export interface AgentSet {
   readonly type: 'agentSet';
   readonly setId: number;
@@ -200,18 +204,20 @@
   readonly epoch: Epoch;
   readonly digest: string;
   readonly setId: number;
-  /** Agents that owners may have used; empty for just those of the set. */
+  /** Agents that any owner may have used; empty when they are those of the set. */
   readonly members: readonly string[];
 }
 
-/** Entry to registrar: the claims it owns on the registrar's seats, as of a configuration offset. */
+/**
+ * Entry to registrar: the claims that the entry owns on the registrar's seats, as of a configuration offset.
+ */
 export interface Announce {
   readonly type: 'announce';
   readonly offset: number;
   readonly claims: readonly OwnedClaim[];
-  /** Tells this announcement from a repeat, whose parts may be cut differently. */
+  /** Distinguishes this announcement from a repeated one, which may be split differently. */
   readonly id: number;
-  /** Which part this is, from 0, and of how many. */
+  /** Index of this part, from 0, and number of parts. */
   readonly part: number;
   readonly parts: number;
 }
@@ -222,7 +228,7 @@
   readonly offset: number;
 }
 
-/** Entry to the owning entry: send me the job's answer when it is there. */
+/** Entry to the owning entry: request for the job's answer as soon as it is available. */
 export interface Attach {
   readonly type: 'attach';
   readonly id: number;
@@ -230,44 +236,44 @@
   readonly digest: string;
 }
 
-/** Owner to attached entry. */
+/** Owner to attached entry: state and answer of the job. */
 export interface Attached {
   readonly type: 'attached';
   readonly id: number;
   readonly job: string;
   /** `answered`, `waiting` or `absent`. */
   readonly state: string;
-  /** JSON of the answer when answered. */
+  /** JSON text of the answer; set when answered. */
   readonly answer: string;
 }
 
-/** A process is leaving: send it nothing new. */
+/** The sender is shutting down and accepts nothing new. */
 export interface Leaving {
   readonly type: 'leaving';
   readonly done: boolean;
 }
 
-/** Asks a peer for the configuration when it knows a newer one. */
+/** Requests the configuration if the peer has a newer one. */
 export interface StateRequest {
   readonly type: 'stateRequest';
   readonly offset: number;
 }
 
-/** The configuration as JSON. */
+/** The configuration as JSON text. */
 export interface StateReply {
   readonly type: 'stateReply';
   readonly offset: number;
   readonly state: string;
 }
 
-/** An operator's query, passed from entry to entry. */
+/** An operator's query, forwarded to another entry. */
 export interface Ask {
   readonly type: 'ask';
   readonly id: number;
   readonly text: string;
 }
 
-/** Its answer, as JSON. */
+/** Answer to a forwarded query, as JSON text. */
 export interface Told {
   readonly type: 'told';
   readonly id: number;
--- a/src/connection/peer/LineChannel.test.ts
+++ b/src/connection/peer/LineChannel.test.ts
@@ -6,7 +6,7 @@
 import { LineChannel } from './LineChannel.js';
 import type { PeerMessage, StartOrder } from './peerMessages.js';
 
-/** What is written comes back on the same stream, as from a peer that says the same. */
+/** Socket that receives whatever is written to it. */
 class EchoSocket extends PassThrough {
   readonly written: string[] = [];
 
@@ -57,20 +57,20 @@
     while (received.length < starts.length) await new Promise((resolve) => setImmediate(resolve));
   }
 
-  it('sends each start by itself to a peer that has not said that it reads batches', async () => {
+  it('sends each start separately before batches are allowed', async () => {
     await exchange();
     expect(socket.written.join('').trim().split('\n').length).to.equal(3);
     expect(received).to.deep.equal(starts);
   });
 
-  it('sends the starts of a turn as one message to a peer that reads batches', async () => {
+  it('sends the starts of a turn as one message when batches are allowed', async () => {
     channel.allowBatches();
     await exchange();
     expect(socket.written.join('').trim().split('\n').length).to.equal(1);
     expect(received).to.deep.equal(starts);
   });
 
-  it('closes on a batch that is wrong, and says what of it', async () => {
+  it('closes on an invalid batch and reports the invalid field', async () => {
     socket.write(
       '{"type":"starts","job":"a","service":"s","spec":"t","rank":1,"expiresAt":2,"tasks":[{}]}\n',
     );
@@ -79,11 +79,11 @@
     expect(received).to.deep.equal([]);
   });
 
-  it('delivers nothing more of a batch once it has closed', async () => {
-    const taken: PeerMessage[] = [];
+  it('delivers no further starts of a batch after it has closed', async () => {
+    const delivered: PeerMessage[] = [];
     const failing = new LineChannel(socket as unknown as Socket, {
       receive: (message) => {
-        taken.push(message);
+        delivered.push(message);
         throw new Error('test');
       },
       close: (reason) => closed.push(reason),
@@ -92,6 +92,6 @@
     for (const start of starts) failing.send(start);
     while (closed.length === 0) await new Promise((resolve) => setImmediate(resolve));
     await new Promise((resolve) => setImmediate(resolve));
-    expect(taken).to.deep.equal([starts[0]]);
+    expect(delivered).to.deep.equal([starts[0]]);
   });
 });
--- a/src/connection/peer/LineChannel.ts
+++ b/src/connection/peer/LineChannel.ts
@@ -1,4 +1,4 @@
-/** One TCP connection that carries a JSON message a line, written together once a turn. */
+/** TCP connection with one JSON message per line; the messages of an event loop turn are written together. */
 import type { Socket } from 'node:net';
 
 import { InvariantError } from '../../_lib/errors.js';
@@ -6,25 +6,25 @@
 import { parsePeerMessage } from './parsePeerMessage.js';
 import type { PeerMessage } from './peerMessages.js';
 
-/** Longest line that is read, characters. */
-const MAX_LINE = 4 * 1024 * 1024;
-/** Bytes that may wait for a peer that does not read. */
+/** Longest incomplete line that is buffered, characters. */
+const MAX_LINE_LENGTH = 4 * 1024 * 1024;
+/** Maximum number of bytes buffered for a peer that does not read. */
 const MAX_UNSENT_BYTES = 8 * 1024 * 1024;
 
-/** What a channel tells its owner. */
+/** Callbacks of a channel to its owner. */
 export interface ChannelEvents {
   readonly receive: (message: PeerMessage) => void;
   readonly close: (reason: string) => void;
-  /** Bytes came, whether or not a message is whole by now. */
-  readonly noteBytes?: () => void;
+  /** Called for all received data, also when no message is complete. */
+  readonly receiveBytes?: () => void;
 }
 
-/** A connection to a peer. */
+/** Sends and receives messages on a connection to a peer. */
 export class LineChannel {
-  private rest = '';
+  private incompleteLine = '';
   private outgoing: PeerMessage[] = [];
   private closed = false;
-  private takesBatches = false;
+  private sendsBatches = false;
 
   constructor(
     private readonly socket: Socket,
@@ -43,22 +43,22 @@
     return !this.closed;
   }
 
-  /** The peer reads batches of starts: those of a turn are merged from now on. */
+  /** Merges the starts of a turn from now on; call it when the peer accepts batches of starts. */
   allowBatches(): void {
-    this.takesBatches = true;
+    this.sendsBatches = true;
   }
 
-  /** Queues a message; all of a turn are written together. */
+  /** Queues a message, which is written at the end of the turn. */
   send(message: PeerMessage): void {
     if (this.closed) return;
     if (this.outgoing.length === 0) setImmediate(() => this.flush());
     this.outgoing.push(message);
   }
 
-  /** Writes what is queued. */
+  /** Writes the queued messages. */
   flush(): void {
     if (this.closed || this.outgoing.length === 0) return;
-    const messages = this.takesBatches ? mergeStarts(this.outgoing) : this.outgoing;
+    const messages = this.sendsBatches ? mergeStarts(this.outgoing) : this.outgoing;
     this.outgoing = [];
     let text = '';
     for (const message of messages) text += `${JSON.stringify(message)}\n`;
@@ -66,7 +66,7 @@
     if (this.socket.writableLength > MAX_UNSENT_BYTES) this.close('peer does not read');
   }
 
-  /** Ends the connection at once; `close` is told once. */
+  /** Closes the connection immediately; the `close` callback is called once. */
   close(reason: string): void {
     if (this.closed) return;
     this.closed = true;
@@ -75,10 +75,10 @@
   }
 
   private read(text: string): void {
-    this.events.noteBytes?.();
-    const lines = (this.rest + text).split('\n');
-    this.rest = lines.pop() ?? '';
-    if (this.rest.length > MAX_LINE) return this.close('line too long');
+    this.events.receiveBytes?.();
+    const lines = (this.incompleteLine + text).split('\n');
+    this.incompleteLine = lines.pop() ?? '';
+    if (this.incompleteLine.length > MAX_LINE_LENGTH) return this.close('line too long');
     for (const line of lines) {
       if (this.closed) return;
       const { message, problem } = parsePeerMessage(line);
@@ -88,14 +88,14 @@
     }
   }
 
-  /** What one peer sends must not end the process; only a broken invariant does. */
+  /** Closes the channel when handling a message fails; only an InvariantError ends the process. */
   private deliver(message: PeerMessage): void {
     if (this.closed) return;
     try {
       this.events.receive(message);
     } catch (error) {
       if (error instanceof InvariantError) throw error;
-      this.close(`failed to take a ${message.type}: ${String(error)}`);
+      this.close(`failed to handle a ${message.type} message: ${String(error)}`);
     }
   }
 }
--- a/src/connection/peer/PeerDialer.ts
+++ b/src/connection/peer/PeerDialer.ts
@@ -1,4 +1,4 @@
-/** Keeps a channel to each of a changing set of addresses, dialing again when one breaks or goes silent. */
+/** Maintains a channel to each of a changing set of addresses and redials closed or unresponsive ones. */
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
 
@@ -8,13 +8,13 @@
 import { LineChannel } from './LineChannel.js';
 import type { PeerMessage } from './peerMessages.js';
 
-/** How long one dial may take, ms: a cut link says nothing. */
+/** Timeout of a connection attempt, ms. */
 const DIAL_TIMEOUT_MS = 500;
-/** Shortest and longest pause between two dials, ms. */
-const FIRST_RETRY_MS = 50;
-const LAST_RETRY_MS = 800;
+/** Bounds of the backoff between two attempts, before jitter, ms. */
+const MIN_RETRY_MS = 50;
+const MAX_RETRY_MS = 800;
 
-/** What a dialer tells its owner. */
+/** Callbacks of a dialer to its owner. */
 export interface DialerEvents {
   readonly open: (address: string, channel: LineChannel) => void;
   readonly receive: (address: string, message: PeerMessage) => void;
@@ -24,84 +24,91 @@
 interface DialedPeer {
   channel: LineChannel | undefined;
   socket: Socket | undefined;
-  /** Echoes on the channels to it, one after another. */
-  readonly echoes: PongMonitor;
+  /** Monitors the pongs of the peer over all its successive channels. */
+  readonly pongs: PongMonitor;
   retryMs: number;
   timer: NodeJS.Timeout | undefined;
 }
 
-/** Dials peers. */
+/** Dials peers and redials them with exponential backoff. */
 export class PeerDialer {
   private readonly peers = new Map<string, DialedPeer>();
   private stopped = false;
 
   /**
-   * @param events - what to tell
-   * @param clock - of this process
-   * @param nextRandom - from 0 to 1
-   * @param firstEchoMs - how long the first echo of a peer is waited for, ms
+   * @param events - callbacks to the owner
+   * @param clock - monotonic clock of this process
+   * @param nextRandom - random numbers from 0 to 1, for the jitter
+   * @param firstPongMs - timeout of the first pong of a peer, ms
    */
   constructor(
     private readonly events: DialerEvents,
     private readonly clock: Clock,
     private readonly nextRandom: () => number,
-    private readonly firstEchoMs: number,
+    private readonly firstPongMs: number,
   ) {}
 
-  /** Addresses that are kept, linked or not. */
+  /** Addresses to which channels are maintained, connected or not. */
   get addresses(): string[] {
     return [...this.peers.keys()];
   }
 
-  /** Starts to keep a channel to an address. */
-  keep(address: string): void {
+  /** Starts to maintain a channel to an address. */
+  add(address: string): void {
     if (this.peers.has(address) || this.stopped) return;
     const peer: DialedPeer = {
       channel: undefined,
       socket: undefined,
-      echoes: new PongMonitor(this.firstEchoMs),
-      retryMs: FIRST_RETRY_MS,
+      pongs: new PongMonitor(this.firstPongMs),
+      retryMs: MIN_RETRY_MS,
       timer: undefined,
     };
     this.peers.set(address, peer);
     this.dial(address, peer);
   }
 
-  /** Ends the channel to an address and dials it at once: the peer may answer, though not on this connection. */
-  renew(address: string, reason: string): void {
+  /**
+   * Closes the channel to an address and redials it immediately: the connection may be dead although the peer
+   * is not.
+   */
+  reconnect(address: string, reason: string): void {
     const peer = this.peers.get(address);
     if (!peer?.channel) return;
     peer.retryMs = 0;
     peer.channel.close(reason);
   }
 
-  /** A ping was sent on the channel to an address. */
+  /** Records a ping sent on the channel to an address. */
   recordPing(address: string): void {
-    this.peers.get(address)?.echoes.recordPing(this.clock.now());
+    this.peers.get(address)?.pongs.recordPing(this.clock.now());
   }
 
-  /** The echo of a ping came that was sent `at`, our time in ms. */
+  /** Records the pong to a ping that was sent `at`, on the clock of this process. */
   recordPong(address: string, at: number): void {
-    this.peers.get(address)?.echoes.recordPong(this.clock.now() - at);
+    this.peers.get(address)?.pongs.recordPong(this.clock.now() - at);
   }
 
-  /** This process stood still: echoes may wait to be read. */
+  /**
+   * Restarts the waits for pongs after this process was paused, since pongs may be received but not read yet.
+   */
   handlePause(): void {
     const now = this.clock.now();
-    for (const { echoes } of this.peers.values()) echoes.handlePause(now);
+    for (const { pongs } of this.peers.values()) pongs.handlePause(now);
   }
 
-  /** Dials those anew whose echo is overdue: an open connection may carry nothing any more while new ones work. */
-  review(): void {
+  /**
+   * Redials peers whose pong is overdue, since their connection may be dead although a new one would work.
+   */
+  checkPongs(): void {
     const now = this.clock.now();
     for (const [address, peer] of this.peers) {
-      // An echo that has already arrived is read before the connection is given up.
-      if (peer.echoes.isOverdue(now)) setImmediate(() => this.renewSilent(address, peer));
+      // Lets the event loop read a pong that has already arrived before the connection is closed.
+      if (peer.pongs.isOverdue(now)) setImmediate(() => this.reconnectUnresponsive(address, peer));
     }
   }
 
-  /** Ends the channel to an address and forgets it. */
-  forget(address: string): void {
+  /** Closes the channel to an address and stops maintaining it. */
+  remove(address: string): void {
     const peer = this.peers.get(address);
     if (!peer) return;
     this.peers.delete(address);
@@ -110,16 +117,16 @@
     peer.channel?.close('forgotten');
   }
 
-  /** Ends all channels. */
+  /** Closes all channels. */
   stop(): void {
     this.stopped = true;
-    for (const address of this.addresses) this.forget(address);
+    for (const address of this.addresses) this.remove(address);
   }
 
-  private renewSilent(address: string, peer: DialedPeer): void {
-    if (this.peers.get(address) !== peer || !peer.echoes.isOverdue(this.clock.now())) return;
-    peer.echoes.recordTimeout();
-    this.renew(address, 'silent');
+  private reconnectUnresponsive(address: string, peer: DialedPeer): void {
+    if (this.peers.get(address) !== peer || !peer.pongs.isOverdue(this.clock.now())) return;
+    peer.pongs.recordTimeout();
+    this.reconnect(address, 'silent');
   }
 
   private dial(address: string, peer: DialedPeer): void {
@@ -149,7 +156,7 @@
   private open(address: string, peer: DialedPeer, socket: Socket): void {
     if (this.peers.get(address) !== peer) return void socket.destroy();
     const channel = new LineChannel(socket, {
-      noteBytes: () => peer.echoes.recordArrival(this.clock.now()),
+      receiveBytes: () => peer.pongs.recordArrival(this.clock.now()),
       receive: (message) => this.events.receive(address, message),
       close: (reason) => {
         peer.channel = undefined;
@@ -158,15 +165,15 @@
       },
     });
     peer.channel = channel;
-    peer.echoes.handleOpened();
-    peer.retryMs = FIRST_RETRY_MS;
+    peer.pongs.handleOpened();
+    peer.retryMs = MIN_RETRY_MS;
     this.events.open(address, channel);
   }
 
   private scheduleDial(address: string, peer: DialedPeer): void {
     if (this.stopped || this.peers.get(address) !== peer) return;
     const pause = peer.retryMs * (0.75 + 0.5 * this.nextRandom());
-    peer.retryMs = Math.min(LAST_RETRY_MS, Math.max(FIRST_RETRY_MS, peer.retryMs * 2));
+    peer.retryMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, peer.retryMs * 2));
     peer.timer = setTimeout(() => this.dial(address, peer), pause);
   }
 }
--- a/src/connection/peer/PeerListener.test.ts
+++ b/src/connection/peer/PeerListener.test.ts
@@ -7,7 +7,7 @@
 import { PeerListener } from './PeerListener.js';
 
 const HOST = '127.0.0.1';
-const LOOK_MS = 20;
+const CHECK_INTERVAL_MS = 20;
 const LINE = '{"type":"demand"}\n';
 
 describe('PeerListener', () => {
@@ -20,7 +20,7 @@
     received = 0;
     closed = [];
     const events = { receive: () => (received += 1), close: (_: unknown, why: string) => closed.push(why) };
-    listener = new PeerListener(events, LOOK_MS);
+    listener = new PeerListener(events, CHECK_INTERVAL_MS);
     socket = connect(await listener.start(HOST, 0), HOST);
     socket.on('error', () => undefined);
   });
@@ -30,18 +30,18 @@
     await listener.stop();
   });
 
-  it('closes a channel on which nothing comes any more', async () => {
+  it('closes a channel that receives no more messages', async () => {
     socket.write(LINE);
-    while (closed.length === 0) await sleep(LOOK_MS);
+    while (closed.length === 0) await sleep(CHECK_INTERVAL_MS);
     expect(closed).to.deep.equal(['idle']);
   });
 
-  it('keeps a channel on which something comes', async () => {
-    for (let looks = 0; looks < 20; looks += 1) {
+  it('keeps a channel that receives messages', async () => {
+    for (let checks = 0; checks < 20; checks += 1) {
       socket.write(LINE);
       const before = received;
       while (received === before) await sleep(1);
-      await sleep(LOOK_MS);
+      await sleep(CHECK_INTERVAL_MS);
     }
     expect(closed).to.deep.equal([]);
   });
--- a/src/connection/peer/PeerListener.ts
+++ b/src/connection/peer/PeerListener.ts
@@ -1,61 +1,61 @@
-/** Accepts channels that peers dial. */
+/** Accepts channels from peers and closes idle ones. */
 import { createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 
 import { LineChannel } from './LineChannel.js';
 import type { PeerMessage } from './peerMessages.js';
 
-/** How long an accepted connection may stay without a first message, ms. */
+/** Timeout for the first message on an accepted connection, ms. */
 const HELLO_TIMEOUT_MS = 5_000;
 
 /**
- * Between two looks at which channels have said something, ms, and looks in a row without a word after which one is
- * closed. Peers say something every second at least. What is written to a connection that carries nothing any more is
- * kept for it, up to 8 MiB, and its peer may have given it up without a word that arrives. Looks are counted, not time,
- * so that a process that stood still reads what waits before it closes anything.
+ * A channel is closed after this number of consecutive checks, at this interval in ms, without a message.
+ * Peers send one at least every second. This releases the buffers of connections whose peer closed them
+ * without a FIN or RST that arrived. Checks are counted instead of elapsed time, so that a process resumed
+ * after a pause reads pending messages before it closes a channel.
  */
-const LOOK_MS = 2_500;
-const LOOKS = 4;
+const IDLE_CHECK_INTERVAL_MS = 2_500;
+const MAX_IDLE_CHECKS = 4;
 
-/** What a listener tells its owner. */
+/** Callbacks of a listener to its owner. */
 export interface ListenerEvents {
   readonly receive: (channel: LineChannel, message: PeerMessage) => void;
   readonly close: (channel: LineChannel, reason: string) => void;
 }
 
-/** Accepts peers. */
+/** Server for channels that peers dial. */
 export class PeerListener {
-  /** Looks in a row at which a channel had said nothing. */
-  private readonly idleLooks = new Map<LineChannel, number>();
+  /** Number of consecutive checks without a message, by channel. */
+  private readonly idleChecks = new Map<LineChannel, number>();
   private readonly server: Server;
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param events - what to tell
-   * @param lookMs - between two looks at which channels have said something
+   * @param events - callbacks to the owner
+   * @param checkIntervalMs - interval of the checks for idle channels, ms
    */
   constructor(
     private readonly events: ListenerEvents,
-    private readonly lookMs = LOOK_MS,
+    private readonly checkIntervalMs = IDLE_CHECK_INTERVAL_MS,
   ) {
     this.server = createServer((socket) => this.accept(socket));
   }
 
-  /** Starts to listen and returns the port. */
+  /** Starts to listen and returns the bound port. */
   async start(host: string, port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
       this.server.listen(port, host, resolve);
     });
-    this.timer = setInterval(() => this.look(), this.lookMs);
+    this.timer = setInterval(() => this.closeIdle(), this.checkIntervalMs);
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Ends all channels. */
+  /** Stops listening and closes all channels. */
   async stop(): Promise<void> {
     clearInterval(this.timer);
     const closed = new Promise<void>((resolve) => this.server.close(() => resolve()));
-    for (const channel of this.idleLooks.keys()) channel.close('stopped');
+    for (const channel of this.idleChecks.keys()) channel.close('stopped');
     await closed;
   }
 
@@ -63,23 +63,23 @@
     const channel: LineChannel = new LineChannel(socket, {
       receive: (message) => {
         clearTimeout(timer);
-        this.idleLooks.set(channel, 0);
+        this.idleChecks.set(channel, 0);
         this.events.receive(channel, message);
       },
       close: (reason) => {
         clearTimeout(timer);
-        this.idleLooks.delete(channel);
+        this.idleChecks.delete(channel);
         this.events.close(channel, reason);
       },
     });
     const timer = setTimeout(() => channel.close('no hello'), HELLO_TIMEOUT_MS);
-    this.idleLooks.set(channel, 0);
+    this.idleChecks.set(channel, 0);
   }
 
-  private look(): void {
-    for (const [channel, looks] of [...this.idleLooks]) {
-      if (looks >= LOOKS) channel.close('idle');
-      else this.idleLooks.set(channel, looks + 1);
+  private closeIdle(): void {
+    for (const [channel, checks] of [...this.idleChecks]) {
+      if (checks >= MAX_IDLE_CHECKS) channel.close('idle');
+      else this.idleChecks.set(channel, checks + 1);
     }
   }
 }
--- a/src/connection/peer/PongMonitor.ts
+++ b/src/connection/peer/PongMonitor.ts
@@ -1,79 +1,78 @@
 /**
- * Judges from pings and their echoes whether a connection still carries anything: an open connection may go silent for
- * good, without a reset, while new ones to the same peer work.
+ * Detects dead connections from pings without a pong: packets of an established connection may be dropped
+ * without a reset while new connections to the same peer work.
  */
 import { AnswerTimeout } from '../AnswerTimeout.js';
 
 /**
- * Least time that an echo is waited for, ms: the loop of a busy peer may be held up for as long, and a connection that
- * is given up for nothing costs both sides a connection and the state that a new link is told.
+ * Shortest timeout of a pong, ms. It allows for a blocked event loop at a busy peer, since a needless
+ * reconnect costs both sides a connection and the initial state that is sent on a new link.
  */
-const MIN_ECHO_MS = 80;
-/**
- * Longest time, ms. The wait doubles with each connection in a row on which no echo came, since the peer is slow or
- * frozen then: it costs one connection in this time.
- */
-const MAX_ECHO_MS = 1_500;
+const MIN_PONG_TIMEOUT_MS = 80;
+/** Longest timeout of a pong, ms; it doubles with each consecutive connection without a pong. */
+const MAX_PONG_TIMEOUT_MS = 1_500;
 
 /**
- * Longest time for which other bytes stand for an echo, ms: a connection that carries something is not dialed anew, as
- * all that is on its way would be sent again, but one of which only our direction is gone is.
+ * Longest time for which other received data extends the wait for a pong, ms. A reconnect would send all data
+ * in flight again; the limit covers a connection on which only the outgoing direction is dead.
  */
-const MAX_ARRIVALS_MS = 1_500;
+const MAX_ARRIVAL_EXTENSION_MS = 1_500;
 
-/** Watches the connections to one peer, one after another. */
+/** Monitors the successive connections to one peer. */
 export class PongMonitor {
   private readonly timeout: AnswerTimeout;
-  /** When the oldest ping without an echo was sent on the open connection. */
-  private awaitedSince: number | undefined;
-  /** When anything came on it last. */
-  private arrivedAt = -Infinity;
+  /** Time of the oldest ping without a pong on the open connection; undefined when none is pending. */
+  private oldestPingAt: number | undefined;
+  /** Time of the last data received on the open connection. */
+  private lastArrivalAt = -Infinity;
 
-  /** @param firstMs - how long the first echo of all is waited for, ms */
+  /** @param firstMs - timeout of the first pong, ms */
   constructor(firstMs: number) {
-    this.timeout = new AnswerTimeout({ minMs: MIN_ECHO_MS, maxMs: MAX_ECHO_MS, firstMs });
+    this.timeout = new AnswerTimeout({ minMs: MIN_PONG_TIMEOUT_MS, maxMs: MAX_PONG_TIMEOUT_MS, firstMs });
   }
 
-  /** A connection was opened: nothing is awaited on it yet. */
+  /** Resets the state for a new connection; the timeout is kept. */
   handleOpened(): void {
-    this.awaitedSince = undefined;
-    this.arrivedAt = -Infinity;
+    this.oldestPingAt = undefined;
+    this.lastArrivalAt = -Infinity;
   }
 
-  /** Bytes came, of an echo or of anything else. */
+  /** Records received data of any kind. */
   recordArrival(now: number): void {
-    this.arrivedAt = now;
+    this.lastArrivalAt = now;
   }
 
-  /** A ping was sent. */
+  /** Records a sent ping. */
   recordPing(now: number): void {
-    this.awaitedSince ??= now;
+    this.oldestPingAt ??= now;
   }
 
-  /** An echo came, `tookMs` after its ping. */
+  /** Records a pong, `tookMs` after its ping. */
   recordPong(tookMs: number): void {
-    this.awaitedSince = undefined;
-    // One that spans a standstill tells nothing of how long echoes take.
-    if (tookMs <= MAX_ECHO_MS) this.timeout.noteAnswer(tookMs);
+    this.oldestPingAt = undefined;
+    // A pong delayed by a pause of either process is no sample of the round-trip time.
+    if (tookMs <= MAX_PONG_TIMEOUT_MS) this.timeout.recordAnswer(tookMs);
   }
 
-  /** The connection was given up. */
+  /** Records that the connection was closed for a missing pong, and increases the timeout. */
   recordTimeout(): void {
-    this.awaitedSince = undefined;
-    this.timeout.noteSilence();
+    this.oldestPingAt = undefined;
+    this.timeout.recordTimeout();
   }
 
-  /** This process stood still: an echo may wait to be read. */
+  /** Restarts the wait after this process was paused, since a pong may be received but not read yet. */
   handlePause(now: number): void {
-    if (this.awaitedSince !== undefined) this.awaitedSince = now;
+    if (this.oldestPingAt !== undefined) this.oldestPingAt = now;
   }
 
-  /** Whether an echo should have come by now, and nothing else has. */
+  /**
+   * Whether the pong has timed out and no other data arrived within the timeout, up to the longest extension.
+   */
   isOverdue(now: number): boolean {
-    if (this.awaitedSince === undefined) return false;
-    const waitMs = this.timeout.read();
-    const awaitedMs = now - this.awaitedSince;
-    if (awaitedMs > Math.max(waitMs, MAX_ARRIVALS_MS)) return true;
-    return awaitedMs > waitMs && now - this.arrivedAt > waitMs;
+    if (this.oldestPingAt === undefined) return false;
+    const waitMs = this.timeout.compute();
+    const awaitedMs = now - this.oldestPingAt;
+    if (awaitedMs > Math.max(waitMs, MAX_ARRIVAL_EXTENSION_MS)) return true;
+    return awaitedMs > waitMs && now - this.lastArrivalAt > waitMs;
   }
 }
--- a/src/connection/peer/mergeStarts.test.ts
+++ b/src/connection/peer/mergeStarts.test.ts
@@ -34,32 +34,32 @@
     expect(split(merged)).to.deep.equal(starts);
   });
 
-  it('leaves a single start as it is, and keeps jobs apart', () => {
+  it('leaves single starts as they are and does not merge different jobs', () => {
     const starts = [buildStart('a', 0, 1), buildStart('b', 0, 2)];
     expect(mergeStarts(starts)).to.deep.equal(starts);
   });
 
-  it('sends a suspect by itself', () => {
+  it('does not merge suspect tasks', () => {
     const suspect = { ...buildStart('a', 1, 2), isSuspect: true };
     const starts = [buildStart('a', 0, 1), suspect, { ...suspect, name: { ...suspect.name, index: 2 } }];
     expect(mergeStarts(starts)).to.deep.equal(starts);
     expect(parsePeerMessage(JSON.stringify(suspect)).message).to.deep.equal(suspect);
   });
 
-  it('merges no start across a stop', () => {
+  it('does not merge starts across a stop', () => {
     const stop: PeerMessage = { type: 'stop', name: { job: 'a', step: 0, index: 0, attempt: 1 } };
     const messages = [buildStart('a', 0, 1), stop, buildStart('a', 0, 2)];
     expect(mergeStarts(messages)).to.deep.equal(messages);
   });
 
-  it('writes batches that the other side reads', () => {
+  it('builds batches that are parsed again', () => {
     const merged = mergeStarts([buildStart('a', 0, 1), buildStart('a', 1, 2)]);
     const { message, problem } = parsePeerMessage(JSON.stringify(merged[0]));
     expect(problem).to.equal('');
     expect(message).to.deep.equal(merged[0]);
   });
 
-  it('loses nothing, repeats nothing and keeps the order within a job, whatever is sent', () => {
+  it('loses and duplicates no message and keeps the order within a job, for any messages', () => {
     const sent = fc.array(fc.record({ job: fc.constantFrom('a', 'b', 'c'), isStart: fc.boolean() }), {
       maxLength: 30,
     });
--- a/src/connection/peer/mergeStarts.ts
+++ b/src/connection/peer/mergeStarts.ts
@@ -1,14 +1,14 @@
 /**
- * Starts of one job that go to one agent in one turn travel as one message: the job's text, which is most of a start's
- * bytes (some 1.2 KB of 1.5), is sent once for all of them.
+ * Merges the starts of a job that are sent to one executor in one turn into one message, so that the job's
+ * `spec`, most of a start's bytes, is sent once.
  */
 import type { PeerMessage, StartBatch, StartOrder, WireMessage } from './peerMessages.js';
 
 /**
- * Merges the starts among the messages of a turn. A start keeps its place before all messages that come after it.
+ * Merges starts among the messages of a turn. No start is moved behind a later message.
  *
- * @param messages - in the order in which they were sent
- * @returns the messages to write; a start that has no fellow stays as it is
+ * @param messages - messages in the order of sending
+ * @returns the messages to write; a start that merges with no other stays as it is
  * @example
  * mergeStarts([startA1, ping, startA2]); // [batch of startA1 and startA2, ping]
  */
@@ -17,7 +17,7 @@
   const slots: (PeerMessage | StartOrder[])[] = [];
   for (const message of messages) {
     if (message.type !== 'start') {
-      // A stop must not overtake, or be overtaken by, a start of its task.
+      // Keeps the order of a stop and the starts of its task.
       if (message.type === 'stop') groups.length = 0;
       slots.push(message);
       continue;
@@ -27,9 +27,9 @@
       group.push(message);
       continue;
     }
-    const opened = [message];
-    groups.push(opened);
-    slots.push(opened);
+    const newGroup = [message];
+    groups.push(newGroup);
+    slots.push(newGroup);
   }
   return slots.map((slot) => (Array.isArray(slot) ? buildBatch(slot) : slot));
 }
@@ -37,7 +37,7 @@
 /**
  * Lists the starts of a batch.
  *
- * @param batch - as received
+ * @param batch - received batch
  * @returns a start for each of its tasks
  */
 export function listStarts({ job, tasks, service, spec, rank, expiresAt }: StartBatch): StartOrder[] {
@@ -47,7 +47,7 @@
   });
 }
 
-/** A suspect travels alone: a batch does not tell that a task is one. */
+/** Suspect tasks are sent separately, since a batch has no `isSuspect` field. */
 function canMerge(first: StartOrder, other: StartOrder): boolean {
   return (
     first.name.job === other.name.job &&
--- a/src/connection/peer/packedConfiguration.test.ts
+++ b/src/connection/peer/packedConfiguration.test.ts
@@ -13,13 +13,13 @@
 }
 
 describe('packedConfiguration', () => {
-  it('unpacks what was packed', () => {
+  it('decodes an encoded configuration', () => {
     const text = encodeConfiguration(CONFIGURATION);
     expect(checkPacked(text)).to.equal('');
     expect(decodeConfiguration(text)).to.deep.equal({ ok: true, configuration: CONFIGURATION });
   });
 
-  it('finds a text that is cut off or changed', () => {
+  it('rejects a truncated or altered text', () => {
     const text = encodeConfiguration(CONFIGURATION);
     const middle = text.length / 2;
     for (const wrong of [
@@ -33,12 +33,12 @@
     }
   });
 
-  it('finds what is no configuration', () => {
+  it('rejects a text that holds no configuration', () => {
     for (const text of ['', '{', 'null', '[]', '{"version":1}', '{"version":1,"routes":[{}],"limits":{}}'])
       expect(decodeConfiguration(pack(text)).ok, text).to.equal(false);
   });
 
-  it('unpacks no text that would use up the memory', () => {
+  it('rejects a text that decompresses beyond the limit', () => {
     const text = pack(' '.repeat(64 * 1024 * 1024));
     expect(text.length).to.be.lessThan(100_000);
     expect(checkPacked(text)).to.not.equal('');
--- a/src/connection/peer/packedConfiguration.ts
+++ b/src/connection/peer/packedConfiguration.ts
@@ -1,6 +1,6 @@
 /**
- * A configuration as it travels between processes: its JSON text, deflated, in base64. Processes that use no routes keep
- * it so, and pass it on as it is.
+ * Encoding of configurations between processes: JSON text, deflated, in base64. Processes that use no routes
+ * store and forward the encoded text.
  */
 import { deflateSync, inflateSync } from 'node:zlib';
 
@@ -9,31 +9,31 @@
 import type { ConfigurationNotice } from './peerMessages.js';
 import * as validators from './peerValidators.generated.js';
 
-/** Longest text before it is deflated, bytes: a text that grows without end must not use up the memory. */
-const MAX_TEXT_BYTES = 16 * 1024 * 1024;
-/** Deflate level: small VMs pack in the loop, and higher levels save few bytes. */
-const LEVEL = 3;
+/** Longest JSON text, bytes; guards against decompression bombs. */
+const MAX_DECOMPRESSED_BYTES = 16 * 1024 * 1024;
+/** Deflate level; compression blocks the event loop, and higher levels save few bytes. */
+const COMPRESSION_LEVEL = 3;
 
-/** A configuration, or why the text holds none. */
+/** The decoded configuration, or why the text is invalid. */
 export type ConfigurationDecode =
   | { readonly ok: true; readonly configuration: Configuration }
   | { readonly ok: false; readonly problem: string };
 
 /**
- * Packs a configuration.
+ * Encodes a configuration.
  *
- * @param configuration - any version
+ * @param configuration - the configuration
  * @returns base64 text
  */
 export function encodeConfiguration(configuration: Configuration): string {
-  return deflateSync(JSON.stringify(configuration), { level: LEVEL }).toString('base64');
+  return deflateSync(JSON.stringify(configuration), { level: COMPRESSION_LEVEL }).toString('base64');
 }
 
 /**
- * Unpacks a configuration that a peer has packed.
+ * Decodes and validates a configuration received from a peer.
  *
  * @param text - base64 text
- * @returns the configuration, if the text holds one
+ * @returns the configuration, or why the text is invalid
  * @example
  * decodeConfiguration(encodeConfiguration(configuration)); // { ok: true, configuration }
  */
@@ -51,10 +51,10 @@
 }
 
 /**
- * Tells whether a text came whole, by the checksum in it, without reading what it says.
+ * Checks that an encoded text is complete, by its checksum, without parsing the configuration.
  *
  * @param text - base64 text
- * @returns what is wrong; empty for nothing
+ * @returns the error, or an empty text when the text is complete
  */
 export function checkPacked(text: string): string {
   try {
@@ -66,5 +66,5 @@
 }
 
 function decodeBytes(text: string): Buffer {
-  return inflateSync(Buffer.from(text, 'base64'), { maxOutputLength: MAX_TEXT_BYTES });
+  return inflateSync(Buffer.from(text, 'base64'), { maxOutputLength: MAX_DECOMPRESSED_BYTES });
 }
--- a/src/connection/peer/parsePeerMessage.ts
+++ b/src/connection/peer/parsePeerMessage.ts
@@ -4,10 +4,10 @@
 import type { WireMessage } from './peerMessages.js';
 import * as validators from './peerValidators.generated.js';
 
-/** A message, or why the line is none. */
+/** The parsed message, or why the line is invalid. */
 export interface PeerMessageParse {
   readonly message: WireMessage | undefined;
-  /** Empty where there is a message, or one of a type that only newer versions know, which is passed over. */
+  /** Empty when the line is valid; a message of an unknown type, from a newer version, is ignored. */
   readonly problem: string;
 }
 
@@ -35,10 +35,10 @@
 };
 
 /**
- * Reads one line of a link.
+ * Parses and validates one line of a link.
  *
- * @param line - JSON text without its end of line
- * @returns the message, or why the link is not to be trusted any more
+ * @param line - JSON text without the line break
+ * @returns the message, or why the line is invalid
  * @example
  * parsePeerMessage('{"type":"later"}'); // { message: undefined, problem: '' }
  */
@@ -55,5 +55,8 @@
   if (!Object.hasOwn(VALIDATORS, type)) return { message: undefined, problem: '' };
   const validate = VALIDATORS[type as WireMessage['type']];
   if (validate(value)) return { message: value as unknown as WireMessage, problem: '' };
-  return { message: undefined, problem: `a wrong ${type}: ${renderFindings(listFindings(validate.errors))}` };
+  return {
+    message: undefined,
+    problem: `invalid ${type} message: ${renderFindings(listFindings(validate.errors))}`,
+  };
 }
--- a/src/connection/peer/peerMessages.ts
+++ b/src/connection/peer/peerMessages.ts
@@ -1,27 +1,28 @@
 /**
- * What agents and entries say to each other. An agent dials every entry it knows; both write one JSON message a
- * line. Times called `at` are on the agent's monotonic clock in ms; no clock is ever compared with another's.
+ * Messages between executors and dispatchers. An executor dials every dispatcher of which it has the address;
+ * both write one JSON message per line. Times named `at` are on the executor's monotonic clock in ms; clocks
+ * of different processes are never compared. On the wire, `agent` is an executor and `entry` a dispatcher.
  */
 import type { Resources } from '../../request/dispatch/submission.js';
 import type { Configuration } from '../../version/configuration.js';
 import type { EmptiedDomains } from '../../version/emptiedDomains.js';
 
-/** Names one attempt of an entry to have a task run. */
+/** Identifies an attempt of a dispatcher to run a task. */
 export interface AttemptName {
   readonly job: string;
   readonly step: number;
   readonly index: number;
-  /** Counts all attempts of one life of the entry, from 1. */
+  /** Number of the attempt in one incarnation of the dispatcher, from 1. */
   readonly attempt: number;
 }
 
-/** Whether an upstream takes work. `silent`: an order or a renewal is without an answer. */
+/** Whether an upstream accepts tasks. `silent`: unresponsive, an order or a renewal has no answer. */
 export type UpstreamState = 'absent' | 'joining' | 'ready' | 'silent' | 'draining';
 
-/** How far an agent trusts its upstream with work, from what it did of late. */
+/** Health of an upstream as rated by its executor from recent runs. */
 export type UpstreamHealth = 'healthy' | 'probation' | 'suspect';
 
-/** What an agent's upstream is; told on a link when it opens and when it changes. */
+/** Properties of an executor's upstream, sent on a link after it opens and after a change. */
 export interface UpstreamDescription {
   readonly upstream: string;
   readonly service: string;
@@ -29,18 +30,18 @@
   readonly capacity: Resources;
 }
 
-/** What an agent's upstream has left. */
+/** State and free capacity of an executor's upstream. */
 export interface CapacityReport {
-  /** Undefined while it is what the link was last told. */
+  /** Undefined while it is unchanged since it was last sent on the link. */
   readonly description: UpstreamDescription | undefined;
   readonly state: UpstreamState;
   readonly trust: UpstreamHealth;
   readonly free: Resources;
-  /** Starts of the addressed entry that are counted in `free`, since its link opened. */
+  /** Number of starts from the addressed dispatcher, since its link opened, that `free` accounts for. */
   readonly startsSeen: number;
-  /** Work done per ms of run time, in ms of the callers' estimates; 1 where estimates are exact. */
+  /** Estimated run time of tasks divided by their actual run time; 1 when estimates are exact. */
   readonly speed: number;
-  /** Whether the addressed entry is the one that the agent prefers; undefined for no. */
+  /** Whether the executor prefers the addressed dispatcher; undefined for no. */
   readonly isHome?: boolean | undefined;
 }
 
@@ -49,37 +50,37 @@
   readonly name: AttemptName;
   /** 0 to 100. */
   readonly percent: number;
-  /** Time for which the percentage has not changed, ms. */
+  /** Time since the percentage last changed, ms. */
   readonly stalledMs: number;
 }
 
-/** First message of an agent on a link. */
+/** First message of an executor on a link. */
 export interface ExecutorHello {
   readonly type: 'agent-hello';
   readonly agent: string;
-  /** Differs between two lives of the process. */
+  /** Incarnation of the process. */
   readonly life: string;
   readonly failureDomain: string;
-  /** Attempts of the addressed entry that the agent still holds. */
+  /** Attempts of the addressed dispatcher that the executor still holds. */
   readonly holding: readonly AttemptName[];
-  /** Life of the entry that `holding` belongs to; empty if none. */
+  /** Incarnation of the dispatcher to which `holding` belongs; empty if none. */
   readonly entryLife: string;
-  /** Results of the last seconds; those told on a link that broke may be lost. */
+  /** Results of the last seconds, since those sent on a broken link may be lost. */
   readonly results: readonly AttemptResult[];
-  /** Longest time after an unechoed ping for which anything of the entry can still run there, ms. */
+  /** Longest time for which attempts of the dispatcher can still run after a ping without a pong, ms. */
   readonly orphanMs: number;
-  /** Whether the agent reads batches of starts; agents of earlier versions do not. */
+  /** Whether the executor accepts batches of starts; earlier versions do not. */
   readonly takesBatches?: boolean;
 }
 
-/** Where an entry takes links. */
+/** Address at which a dispatcher accepts links. */
 export interface DispatcherPlace {
   /** `host:port`. */
   readonly address: string;
   readonly failureDomain: string;
 }
 
-/** First message of an entry on a link that an agent dialed. */
+/** First message of a dispatcher on a link that an executor dialed. */
 export interface DispatcherWelcome {
   readonly type: 'entry-welcome';
   readonly entry: string;
@@ -87,53 +88,53 @@
   readonly place: DispatcherPlace;
 }
 
-/** First message of an entry that dials another one to make itself known. */
+/** First message of a dispatcher that dials another one, to announce itself. */
 export interface DispatcherHello {
   readonly type: 'entry-hello';
   readonly entry: string;
   readonly place: DispatcherPlace;
 }
 
-/** Regular sign of life of an agent. */
+/** Periodic heartbeat of an executor. */
 export interface Ping {
   readonly type: 'ping';
   readonly at: number;
-  /** Newest configuration that the agent holds; -1 for none. */
+  /** Version of the executor's newest configuration; -1 for none. */
   readonly version: number;
-  /** Newest list of emptied failure domains that it holds; -1 for none. Agents of earlier versions tell none. */
+  /** Revision of the newest list of emptied failure domains; -1 for none. Not sent by earlier versions. */
   readonly emptiedRevision?: number | undefined;
-  /** Undefined while it is what the link was last told. */
+  /** Undefined while it is unchanged since it was last sent on the link. */
   readonly room: CapacityReport | undefined;
-  /** Time from the newest echoed ping to its echo, ms; undefined before the first. Agents of earlier versions tell none. */
+  /** Latest round-trip time of a ping, ms; undefined before the first pong. Not sent by earlier versions. */
   readonly echoMs?: number | undefined;
-  /** Attempts that stand still or crawl; undefined for none. */
+  /** Stalled or slow attempts; undefined for none. */
   readonly progress: readonly AttemptProgress[] | undefined;
 }
 
-/** Echo of a ping: proves that the entry lived after it was sent. */
+/** Reply to a ping: shows that the dispatcher was alive after the ping was sent. */
 export interface Pong {
   readonly type: 'pong';
   readonly at: number;
-  /** Newest configuration that the entry holds; -1 for none. */
+  /** Version of the dispatcher's newest configuration; -1 for none. */
   readonly version: number;
-  /** Newest list of emptied failure domains that it holds; -1 for none. Entries of earlier versions tell none. */
+  /** Revision of the newest list of emptied failure domains; -1 for none. Not sent by earlier versions. */
   readonly emptiedRevision?: number | undefined;
-  /** Typical speed of the upstreams as the entry sees it, against which an upstream crawls. */
+  /** Typical speed of the upstreams as seen by the dispatcher; a much lower one is slow. */
   readonly typicalSpeed: number;
-  /** Whether tasks wait at the entry, so that it is told at once of room that comes free. */
+  /** Whether tasks wait at the dispatcher; the executor then reports freed capacity immediately. */
   readonly isWaiting: boolean;
-  /** Processor room that those tasks ask for, thousandths of a core. Entries of earlier versions tell none. */
+  /** CPU requested by those tasks, thousandths of a core. Not sent by earlier versions. */
   readonly waitingCpuMilli?: number | undefined;
 }
 
-/** Tasks have begun to wait at the entry; the next echo tells whether they still do. */
+/** Tasks have begun to wait at the dispatcher; the next pong reports whether they still do. */
 export interface DemandNotice {
   readonly type: 'demand';
-  /** Processor room that they ask for, thousandths of a core. Entries of earlier versions tell none. */
+  /** CPU requested by these tasks, thousandths of a core. Not sent by earlier versions. */
   readonly waitingCpuMilli?: number | undefined;
 }
 
-/** Room that changed between two pings. */
+/** Change of the free capacity between two pings. */
 export interface CapacityChange {
   readonly type: 'room';
   readonly at: number;
@@ -148,18 +149,18 @@
   readonly spec: string;
   readonly resources: Resources;
   readonly estimateMs: number;
-  /** Lower goes first among what waits at the agent. */
+  /** Order among attempts that wait at the executor; lower ranks first. */
   readonly rank: number;
-  /** Not to be begun after this, on the agent's clock. */
+  /** Latest start of the run, on the executor's clock, ms. */
   readonly expiresAt: number;
   /**
-   * Whether upstreams have crashed under the task: one such task at a time runs at an upstream. Undefined for no; agents
-   * of earlier versions start it as any other.
+   * Whether upstreams have crashed while running the task; an upstream runs one such task at a time.
+   * Undefined for no; earlier versions ignore it.
    */
   readonly isSuspect?: boolean | undefined;
 }
 
-/** A task of a batch of starts; the fields are those of its start. */
+/** Fields of a start that differ within a batch. */
 export interface StartBatchTask {
   readonly step: number;
   readonly index: number;
@@ -168,7 +169,7 @@
   readonly estimateMs: number;
 }
 
-/** Starts of one job, on the wire only: a channel merges and splits them. */
+/** Starts of one job, merged and split by the channel. */
 export interface StartBatch {
   readonly type: 'starts';
   readonly job: string;
@@ -179,16 +180,16 @@
   readonly tasks: readonly StartBatchTask[];
 }
 
-/** Order to end an attempt. */
+/** Order to stop an attempt. */
 export interface StopOrder {
   readonly type: 'stop';
   readonly name: AttemptName;
 }
 
-/** How an attempt ended. `not-run`: it has not begun and will not. `lost`: it is gone with its upstream. */
+/** How an attempt ended. `not-run`: it never started. `lost`: its outcome is lost with its upstream. */
 export type AttemptEnd = 'done' | 'failed' | 'stopped' | 'lost' | 'not-run';
 
-/** The one result of an attempt. */
+/** Result of an attempt. */
 export interface AttemptResult {
   readonly type: 'result';
   readonly name: AttemptName;
@@ -196,113 +197,116 @@
   readonly reason: string;
 }
 
-/** Reason of a result that is lost: the upstream has crashed, and the task may have been at work there. */
+/** Reason of a lost result: the upstream crashed and may have been running the task. */
 export const UPSTREAM_CRASHED = 'upstream-crashed';
 
-/** Reason of a result that is not run: the task is suspect, and another such task is at the upstream. */
+/** Reason of a `not-run` result: the task is suspect, and the upstream has another suspect task. */
 export const OTHER_SUSPECT = 'other-suspect';
 
-/** A task that may have been at work at an upstream when that crashed. */
+/** A task that may have been running at an upstream when it crashed. */
 export interface CrashedTask {
   readonly job: string;
   readonly step: number;
   readonly index: number;
   readonly estimateMs: number;
-  /** Time from its first start until the crash was certain, ms. */
+  /** Time from its first start until the crash was detected, ms. */
   readonly ranMs: number;
-  /** Whether no other suspect was there. */
+  /** Whether no other suspect task was at the upstream. */
   readonly isIsolated: boolean;
 }
 
-/** Crashes that an agent tells another entry, as the one that ordered the tasks does not answer any more. */
+/**
+ * Crashes that an executor reports to another dispatcher, since the one that ordered the tasks is
+ * unresponsive.
+ */
 export interface CrashNotice {
   readonly type: 'crashes';
   readonly tasks: readonly CrashedTask[];
 }
 
-/** A task under which upstreams have crashed, and what counts against it. */
+/** A task during which upstreams have crashed, with its crash counters. */
 export interface SuspectTask {
   readonly job: string;
   readonly step: number;
   readonly index: number;
-  /** Rises with each change: of two records of a task the one with the higher number holds. */
+  /** Rises with each change; of two records of a task, the higher revision is valid. */
   readonly revision: number;
-  /** Upstreams that have crashed under it. */
+  /** Number of upstream crashes while the task was there. */
   readonly crashes: number;
-  /** Those of them that did not crash together with many others. */
+  /** Crashes that did not occur together with many others. */
   readonly blames: number;
-  /** Those of these at which it was the only suspect. */
+  /** Crashes among `blames` at which the task was the only suspect. */
   readonly proofs: number;
 }
 
-/** What entries tell each other of tasks that may crash upstreams. */
+/** Exchange between dispatchers of tasks that may crash upstreams. */
 export interface SuspectNotice {
   readonly type: 'suspects';
   readonly tasks: readonly SuspectTask[];
 }
 
 /**
- * Asks for the newest configuration the peer knows, which is newer than the sender's: with a version for a piece of it,
- * with a position only for its summary. Processes of earlier versions name neither, ask for all of it in one message, and
- * answer so.
+ * Requests the peer's newest configuration, which is newer than the sender's: a piece of it when `version` is
+ * set, its summary when only `position` is set. Earlier versions set neither, request the whole configuration
+ * in one message and answer with it.
  */
 export interface ConfigurationRequest {
   readonly type: 'configuration-request';
-  /** Version that a piece is asked of; undefined where it is not known. */
+  /** Version of the requested piece; undefined when it is not known. */
   readonly version?: number | undefined;
-  /** Characters of the packed text that the sender has. */
+  /** Number of characters of the encoded text that the sender already has. */
   readonly position?: number | undefined;
-  /** Most characters that the sender wants at once. */
+  /** Maximum number of characters in the answer. */
   readonly length?: number | undefined;
-  /** Whether the sender cannot serve without it. */
+  /** Whether the sender cannot serve requests without it. */
   readonly isUrgent?: boolean | undefined;
 }
 
-/** Newest configuration the sender knows, whole: the answer to processes of earlier versions. */
+/** The sender's newest configuration as a whole: the answer to earlier versions. */
 export interface ConfigurationNotice {
   readonly type: 'configuration';
   readonly configuration: Configuration;
 }
 
-/** What all need of the newest configuration at once. */
+/** Fields of the newest configuration that all processes need immediately. */
 export interface ConfigurationSummary {
   readonly type: 'configuration-summary';
   readonly version: number;
-  /** Services that its routes name; undefined where they are too many for a message that is sent at once. */
+  /** Services of its routes; undefined when they are too many for one message. */
   readonly services?: readonly string[] | undefined;
-  /** Characters of the packed text. */
+  /** Length of the encoded text, characters. */
   readonly length?: number | undefined;
 }
 
-/** A part of a packed configuration. */
+/** A piece of an encoded configuration. */
 export interface ConfigurationPiece {
   readonly type: 'configuration-piece';
   readonly version: number;
-  /** Of the first character of the piece. */
+  /** Position of the piece in the encoded text, characters. */
   readonly position: number;
-  /** Characters of the whole. */
+  /** Length of the whole encoded text, characters. */
   readonly length: number;
   readonly text: string;
 }
 
-/** Asks for the newest list of emptied failure domains the peer knows, which is newer than the sender's. */
+/** Requests the peer's list of emptied failure domains, which is newer than the sender's. */
 export interface EmptiedRequest {
   readonly type: 'emptied-request';
 }
 
-/** Newest list of emptied failure domains the sender knows. */
+/** The sender's newest list of emptied failure domains. */
 export interface EmptiedNotice {
   readonly type: 'emptied';
   readonly emptied: EmptiedDomains;
 }
 
-/** Entries the sender has a working link to, or is. */
+/** Dispatchers to which the sender has a working link, and the sender itself if it is one. */
 export interface MembersNotice {
   readonly type: 'members';
   readonly entries: readonly DispatcherPlace[];
 }
 
-/** Messages that both sides of a link send: what the operators have written, and who is there. */
+/** Messages that both sides of a link send. */
 export type SharedMessage =
   | ConfigurationRequest
   | ConfigurationNotice
@@ -312,11 +316,11 @@
   | EmptiedNotice
   | MembersNotice;
 
-/** Messages of agents. */
+/** Messages of executors. */
 export type ExecutorMessage =
   ExecutorHello | Ping | CapacityChange | AttemptResult | CrashNotice | SharedMessage;
 
-/** Messages of entries. */
+/** Messages of dispatchers. */
 export type DispatcherMessage =
   | DispatcherWelcome
   | DispatcherHello
@@ -330,14 +334,14 @@
 /** Any message of a link. */
 export type PeerMessage = ExecutorMessage | DispatcherMessage;
 
-/** Any line of a link. */
+/** Any message on the wire. */
 export type WireMessage = PeerMessage | StartBatch;
 
 /**
- * Returns the key of an attempt's task.
+ * Builds the key of an attempt's task.
  *
  * @param name - job, step and index
- * @returns a text that is unique for the task
+ * @returns a key that is unique to the task
  * @example
  * buildTaskKey({ job: 'a', step: 0, index: 3 }); // 'a/0/3'
  */
--- a/src/connection/peer/peerSchemas.ts
+++ b/src/connection/peer/peerSchemas.ts
@@ -1,17 +1,17 @@
 /**
- * Shapes of the messages between dispatchers and executors, as JSON schemas by type. Fields that are not named here are
- * ignored, so that a newer version may add some. Checked by generated code, see `bench/generateValidators.ts`.
+ * JSON schemas of the messages between dispatchers and executors. Fields that are not listed are ignored, so
+ * that newer versions may add some. `bench/generateValidators.ts` generates the validators.
  */
 
 const TEXT = { type: 'string' } as const;
 const COUNT = { type: 'integer', minimum: 0 } as const;
 const AMOUNT = { type: 'integer', minimum: -1_000_000_000_000, maximum: 1_000_000_000_000 } as const;
-const NEED = { type: 'integer', minimum: 0, maximum: 1_000_000_000 } as const;
+const RESOURCE_AMOUNT = { type: 'integer', minimum: 0, maximum: 1_000_000_000 } as const;
 const FINITE = { type: 'number' } as const;
 
 type Properties = Readonly<Record<string, unknown>>;
 
-/** An object whose fields must all be there, but for those of `optional`. */
+/** Builds the schema of an object whose fields are required, except for those of `optional`. */
 function buildObject(properties: Properties, optional: Properties = {}): object {
   return { type: 'object', required: Object.keys(properties), properties: { ...properties, ...optional } };
 }
@@ -39,7 +39,7 @@
   upstream: TEXT,
   service: TEXT,
   labels: buildList(TEXT),
-  capacity: buildResources(NEED),
+  capacity: buildResources(RESOURCE_AMOUNT),
 });
 const ROOM = buildObject(
   {
@@ -72,7 +72,7 @@
   step: COUNT,
   index: COUNT,
   attempt: COUNT,
-  resources: buildResources(NEED),
+  resources: buildResources(RESOURCE_AMOUNT),
   estimateMs: { type: 'number', minimum: 0 },
 });
 const PROGRESS = buildObject({
@@ -97,7 +97,7 @@
   limits: buildObject({ maxBodyBytes: COUNT, headerTimeoutMs: COUNT, idleTimeoutMs: COUNT }),
 });
 
-/** Schema of each type of message. */
+/** Schemas by message type. */
 export const PEER_SCHEMAS: Readonly<Record<string, object>> = {
   'agent-hello': buildObject(
     {
@@ -124,16 +124,16 @@
       typicalSpeed: { type: 'number', minimum: 0 },
       isWaiting: { type: 'boolean' },
     },
-    { waitingCpuMilli: NEED, emptiedRevision: FINITE },
+    { waitingCpuMilli: RESOURCE_AMOUNT, emptiedRevision: FINITE },
   ),
-  demand: buildObject({}, { waitingCpuMilli: NEED }),
+  demand: buildObject({}, { waitingCpuMilli: RESOURCE_AMOUNT }),
   room: buildObject({ at: FINITE, room: ROOM }),
   start: buildObject(
     {
       name: NAME,
       service: TEXT,
       spec: TEXT,
-      resources: buildResources(NEED),
+      resources: buildResources(RESOURCE_AMOUNT),
       estimateMs: { type: 'number', minimum: 0 },
       rank: FINITE,
       expiresAt: FINITE,
--- a/src/connection/splitAddress.ts
+++ b/src/connection/splitAddress.ts
@@ -8,7 +8,7 @@
  * Splits an address into host and port.
  *
  * @param address - `host:port`
- * @returns both parts; the port is NaN where it is no number
+ * @returns host and port; the port is NaN when it is not a number
  * @example
  * splitAddress('10.1.0.13:8161'); // { host: '10.1.0.13', port: 8161 }
  */
--- a/src/ports/CallerGateway.ts
+++ b/src/ports/CallerGateway.ts
@@ -1,42 +1,42 @@
-/** Port: where callers reach an entry. */
+/** Port: how callers reach a dispatcher. */
 import type { Configuration } from '../version/configuration.js';
 import type { JobOutcome, JobSubmission } from '../request/dispatch/submission.js';
 
-/** State of a job that is asked for while it lives here. */
+/** State of an open job. */
 export type JobState = 'pending' | 'running';
 
-/** One caller that waits for an answer. */
+/** A caller that waits for the outcome of its job. */
 export interface Caller {
-  /** Gives the answer; a second one is ignored. */
+  /** Sends the outcome; further calls are ignored. */
   answer(outcome: JobOutcome): void;
 }
 
-/** What the front door asks of the entry. */
+/** Operations of the dispatcher for the gateway. */
 export interface JobService {
   readonly configuration: Configuration | undefined;
-  /** Whether new connections are welcome. */
+  /** Whether the dispatcher accepts new connections. */
   readonly isReady: boolean;
-  /** Whether the process is on its way out, so that connections are closed after their answer. */
+  /** Whether the process is shutting down; connections are then closed after their answer. */
   readonly isLeaving: boolean;
   submit(submission: JobSubmission, caller: Caller): void;
-  /** The front door has turned a job away; for log and metrics. */
+  /** Records a job that the gateway rejected, in log and metrics. */
   recordRejected(jobId: string, status: number, reason: string): void;
-  /** Taking a call has failed; it was answered with an error. */
+  /** Records a call that failed unexpectedly and was answered with an error. */
   recordFailure(call: string, error: unknown): void;
-  /** The caller's connection is gone. */
+  /** Handles the loss of the caller's connection. */
   abandon(jobId: string, caller: Caller): void;
   findState(jobId: string): JobState | undefined;
-  /** Cancels a job; false if there is none. */
+  /** Cancels a job; returns false if there is none. */
   cancel(jobId: string): boolean;
-  /** Jobs of a queue of which no task has begun. */
+  /** Counts the jobs of a queue of which no task has started. */
   countPending(routeName: string): number;
 }
 
-/** Receives callers and turns what they say into calls of the desk. */
+/** Accepts requests of callers and translates them into calls of a `JobService`. */
 export abstract class CallerGateway {
-  abstract start(desk: JobService): Promise<void>;
-  /** Applies limits of a new configuration. */
+  abstract start(jobService: JobService): Promise<void>;
+  /** Applies the limits of a new configuration. */
   abstract applyConfiguration(configuration: Configuration): void;
-  /** Ends idle connections and takes no new ones. */
+  /** Closes idle connections and accepts no new ones. */
   abstract stop(): Promise<void>;
 }
--- a/src/ports/ConfigurationSource.ts
+++ b/src/ports/ConfigurationSource.ts
@@ -1,26 +1,29 @@
-/** Port: where the operators' word comes from: their configuration, and which failure domains are emptied. */
+/** Port: source of the operators' records: the configuration, and which failure domains are emptied. */
 import type { Finding } from '../_lib/finding.js';
 import type { Configuration } from '../version/configuration.js';
 import type { DomainChange, EmptiedDomains } from '../version/emptiedDomains.js';
 
-/** What the operators write about; `record`: something that cannot be told. */
+/** Subject of findings; `record`: a record whose subject cannot be determined. */
 export type FindingSubject = 'configuration' | 'evacuation' | 'record';
 
-/** Takes what the source says. */
+/** Receives the records of a source. */
 export interface ConfigurationListener {
-  /** A configuration was read; it may be older than one already known. */
+  /** A configuration was read; it may be older than the current one. */
   readonly adopt: (configuration: Configuration) => void;
-  /** All emptied failure domains were read; the list may be older than one already known. */
+  /** The list of emptied failure domains was read; it may be older than the current one. */
   readonly adoptEmptied: (emptied: EmptiedDomains) => void;
-  /** A failure domain was emptied or taken back; the record may be older than what is known. */
+  /** A failure domain was emptied or released again; the record may be older than the current list. */
   readonly changeDomain: (change: DomainChange) => void;
-  /** A configuration, some of its routes, an evacuation or a record could not be read; what was in force stays. */
+  /**
+   * A configuration, some of its routes, an evacuation or a record is invalid; the previous one stays in
+   * force.
+   */
   readonly reportFindings: (subject: FindingSubject, findings: readonly Finding[]) => void;
-  /** The source was lost or found again. */
+  /** The source became unreachable or reachable again. */
   readonly reportState: (state: 'reachable' | 'unreachable', detail: string) => void;
 }
 
-/** Follows the operators' word for the life of the process. */
+/** Reads the operators' records and follows their changes until it is stopped. */
 export abstract class ConfigurationSource {
   abstract start(listener: ConfigurationListener): void;
   abstract stop(): void;
--- a/src/ports/UpstreamApi.ts
+++ b/src/ports/UpstreamApi.ts
@@ -1,6 +1,6 @@
-/** Port: how an agent has one upstream run tasks under a lease. */
+/** Port: API of an upstream, which runs tasks under a lease of its executor. */
 
-/** Names one run of one task at an upstream. */
+/** Identifies a run of a task at an upstream. */
 export interface RunName {
   /** The caller's id of the job. */
   readonly job: string;
@@ -14,19 +14,20 @@
 export interface RunStart {
   readonly name: RunName;
   readonly spec: string;
-  /** Lease of everything that runs there, on the upstream's clock, ms. */
+  /** End of the lease for all runs there, on the upstream's clock, ms. */
   readonly leaseUntilMs: number;
   readonly fencingToken: number;
 }
 
 /**
- * Outcome of a start. `superseded`: a run as new as this one has stopped or ended there; `late`: the lease was
- * over on arrival; `refused`: the upstream did nothing and says so.
+ * Outcome of a start. `superseded`: this or a newer run of the task has already been stopped or has ended
+ * there; `late`: the lease had expired on arrival; `refused`: the upstream rejected the order without any
+ * effect.
  */
 export type StartVerdict =
   'started' | 'superseded' | 'late' | 'no-room' | 'fenced' | 'refused' | 'invalid' | 'other-life';
 
-/** Answer to an order; the clock is the upstream's, ms, where it was told. */
+/** Answer to an order, with the upstream's clock in ms if the answer holds it. */
 export interface OrderAnswer<Verdict extends string> {
   readonly verdict: Verdict;
   readonly clockMs: number | undefined;
@@ -35,41 +36,41 @@
 /** Outcome of a stop. */
 export type StopVerdict = 'accepted' | 'fenced' | 'refused' | 'other-life';
 
-/** How a run ended. `lapsed`: its lease ran out. */
+/** How a run ended. `lapsed`: its lease expired. */
 export type RunEnd = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken';
 
-/** A run at work. */
+/** A run in progress. */
 export interface RunningRun {
   readonly name: RunName;
   /** Progress, 0 to 100. */
   readonly percent: number;
 }
 
-/** A run that is over. */
+/** A run that has ended. */
 export interface EndedRun {
-  /** Rises by one with each end of this life of the upstream. */
+  /** Rises by one with each run that ends in this incarnation of the upstream. */
   readonly sequence: number;
   readonly name: RunName;
   readonly end: RunEnd;
 }
 
-/** Asks for the lists and prolongs the lease. */
+/** Renews the lease and requests the running and ended runs. */
 export interface LeaseRenewal {
-  /** Undefined leaves the lease as it is. */
+  /** New end of the lease; undefined to leave it unchanged. */
   readonly leaseUntilMs: number | undefined;
   readonly fencingToken: number;
-  /** Ends up to here have been noted for good. */
+  /** Highest sequence number up to which all ended runs have been recorded. */
   readonly lastSequence: number;
-  /** How long the upstream may wait for an end before it answers, ms. */
+  /** How long the upstream may wait for a run to end before it answers, ms. */
   readonly waitMs: number;
 }
 
-/** What an upstream holds. */
+/** Answer to a renewal. */
 export type LeaseAnswer =
   | {
       readonly verdict: 'held';
       readonly clockMs: number;
-      /** Start of the life that answers, Unix ms; undefined where it tells none. */
+      /** Start of the incarnation that answers, Unix ms; undefined when not given. */
       readonly bornAt: number | undefined;
       readonly running: readonly RunningRun[];
       readonly ended: readonly EndedRun[];
@@ -79,8 +80,9 @@
   | { readonly verdict: 'refused' };
 
 /**
- * Sends orders to one upstream; where another id is there, calls are answered `other-life`. Every call rejects when no
- * answer came in time; with a ConnectionRefusedError if nobody listens at the upstream's address, so that nothing was sent.
+ * Client of one upstream. The verdict is `other-life` when an upstream with another id answers. Calls reject
+ * when no answer arrives in time; with a ConnectionRefusedError, when nothing listens at the address, so that
+ * nothing was sent.
  */
 export abstract class UpstreamApi {
   abstract start(order: RunStart, timeoutMs: number): Promise<OrderAnswer<StartVerdict>>;
--- a/src/ports/UpstreamRegistry.ts
+++ b/src/ports/UpstreamRegistry.ts
@@ -1,40 +1,40 @@
-/** Port: how upstreams report themselves to the agent beside them. */
+/** Port: how upstreams report to the executor on their VM. */
 import type { Resources } from '../request/dispatch/submission.js';
 import type { UpstreamApi } from './UpstreamApi.js';
 
-/** What an upstream says of itself. */
+/** Heartbeat of an upstream. */
 export interface UpstreamReport {
-  /** Id of the upstream; a later life of it may have the same one. */
+  /** Id of the upstream, which a later incarnation may share. */
   readonly id: string;
-  /** Unix ms at which this life began, which tells lives of one id apart; undefined where each life has its own id. */
+  /** Start of this incarnation, Unix ms; undefined when every incarnation has its own id. */
   readonly bornAt: number | undefined;
   readonly service: string;
-  /** `host:port` of its orders. */
+  /** `host:port` that accepts orders. */
   readonly address: string;
   readonly capacity: Resources;
   readonly labels: readonly string[];
   readonly isDraining: boolean;
-  /** The upstream's clock when it was sent, ms. */
+  /** The upstream's clock when the report was sent, ms. */
   readonly clockMs: number;
-  /** Rises with each report of a life, so that a late one is known. */
+  /** Rises with each report of an incarnation, so that reports out of order are detected. */
   readonly sequence: number;
 }
 
-/** Takes reports. */
+/** Receives reports and deregistrations. */
 export interface UpstreamListener {
   report(report: UpstreamReport): void;
-  /** @param bornAt - life that leaves; undefined where it does not say */
+  /** @param bornAt - start of the incarnation that deregisters, Unix ms; undefined when not given */
   leave(upstreamId: string, bornAt: number | undefined): void;
-  /** A report could not be read. */
+  /** Records an invalid report. */
   recordRejected(call: string, reason: string): void;
-  /** Taking a call has failed; it was answered with an error. */
+  /** Records a call that failed unexpectedly and was answered with an error. */
   recordFailure(call: string, error: unknown): void;
 }
 
-/** Where upstreams report. */
+/** Receives the reports of upstreams. */
 export abstract class UpstreamRegistry {
   abstract start(listener: UpstreamListener): Promise<void>;
-  /** Opens the way to an upstream that has reported. */
+  /** Creates a client of an upstream that has reported. */
   abstract openApi(report: UpstreamReport): UpstreamApi;
   abstract stop(): Promise<void>;
 }
--- a/src/ports/UpstreamReportStore.ts
+++ b/src/ports/UpstreamReportStore.ts
@@ -1,11 +1,14 @@
-/** Port: where an agent finds, after a restart, the upstream that it had before, until that reports itself again. */
+/**
+ * Port: durable store of upstream reports, with which a restarted executor finds its upstream before its next
+ * report.
+ */
 import type { UpstreamReport } from './UpstreamRegistry.js';
 
-/** Keeps the newest report of each agent's upstream, as far as it can be reached. */
+/** Stores the newest upstream report of each executor, on a best-effort basis. */
 export abstract class UpstreamReportStore {
-  /** Keeps a report. Rejects when that failed after several tries; a loss only makes the next start slower. */
-  abstract save(agent: string, report: UpstreamReport): Promise<void>;
-  /** Returns what was kept, or undefined if nothing was. Rejects soon when it cannot be read. */
-  abstract load(agent: string): Promise<UpstreamReport | undefined>;
+  /** Stores a report. Rejects after several failed attempts; a lost report only delays the next start. */
+  abstract save(executorId: string, report: UpstreamReport): Promise<void>;
+  /** Returns the stored report, if any. Rejects without a retry when it cannot be read. */
+  abstract load(executorId: string): Promise<UpstreamReport | undefined>;
   abstract stop(): void;
 }
--- a/src/process/dispatcher/DispatcherPeers.ts
+++ b/src/process/dispatcher/DispatcherPeers.ts
@@ -61,13 +61,13 @@
     const { linkPort, place } = this.options;
     for (const seed of seeds) {
       const address = `${splitAddress(seed).host}:${linkPort}`;
-      if (address !== place.address) this.dialer.keep(address);
+      if (address !== place.address) this.dialer.add(address);
     }
   }
 
   /** Pings all, and dials those anew that have gone silent. */
   ping(): void {
-    this.dialer.review();
+    this.dialer.checkPongs();
     const at = Math.floor(this.clock.now());
     const { versions } = this.exchange;
     for (const [address, channel] of this.channels) {
--- a/src/process/executor/AnswerWatch.ts
+++ b/src/process/executor/AnswerWatch.ts
@@ -32,7 +32,7 @@
 
   /** Time to wait for an answer, ms. */
   get timeoutMs(): number {
-    return this.timeout.read();
+    return this.timeout.compute();
   }
 
   /** Whether answers were lost of late. */
@@ -44,14 +44,14 @@
   noteAnswer(now: number, tookMs?: number): void {
     this.answeredAt = now;
     this.silences = 0;
-    if (tookMs !== undefined) this.timeout.noteAnswer(tookMs);
+    if (tookMs !== undefined) this.timeout.recordAnswer(tookMs);
   }
 
   /** Notes that no answer came in time; it counts only if the upstream has answered nothing else since. */
   noteUnanswered(sentAt: number, now: number): void {
     this.silentAt = now;
     if (this.answeredAt > sentAt) return;
-    this.timeout.noteSilence();
+    this.timeout.recordTimeout();
     this.silences += 1;
   }
 }
--- a/src/process/executor/DispatcherLinks.ts
+++ b/src/process/executor/DispatcherLinks.ts
@@ -144,9 +144,9 @@
   /** Dials what is wanted, and gives up what is not wanted any more or says nothing. */
   keep(): void {
     const now = this.clock.now();
-    this.dialer.review();
+    this.dialer.checkPongs();
     const wanted = this.directory.chooseLinks(now);
-    for (const address of wanted) this.dialer.keep(address);
+    for (const address of wanted) this.dialer.add(address);
     for (const address of this.dialer.addresses) this.review(address, wanted.has(address), now);
     this.updatePreferred(now);
   }
@@ -154,7 +154,7 @@
   /** Pings the entries whose newest ping is old, and dials those anew whose echo is overdue. */
   ping(): void {
     const now = this.clock.now();
-    this.dialer.review();
+    this.dialer.checkPongs();
     const links = [...this.links.values()];
     if (!links.some((link) => this.isPingDue(link, now))) return;
     for (const link of links) if (this.isOlderPing(link, now, TOGETHER)) this.sendPing(link, now);
@@ -225,19 +225,19 @@
   private review(address: string, isWanted: boolean, now: number): void {
     const link = this.links.get(address);
     if (!link) {
-      if (!isWanted) this.dialer.forget(address);
+      if (!isWanted) this.dialer.remove(address);
       return;
     }
     if (isWanted) return this.reviewWanted(link, now);
     if (link.retiringSince === undefined) return this.setRetiring(link, now);
     if (now - link.retiringSince < RETIRE_MS || this.core.countHeld(link.life) > 0) return;
-    this.dialer.forget(address);
+    this.dialer.remove(address);
   }
 
   private reviewWanted(link: DispatcherLink, now: number): void {
     if (link.retiringSince !== undefined) this.setRetiring(link, undefined);
     if (link.life === '' && now - link.openedAt > SILENT_OPENING_MS)
-      this.dialer.renew(link.address, 'silent');
+      this.dialer.reconnect(link.address, 'silent');
   }
 
   private setRetiring(link: DispatcherLink, since: number | undefined): void {
--- a/standins/protocol/RunnerStandin.ts
+++ b/standins/protocol/RunnerStandin.ts
@@ -7,7 +7,7 @@
 import { splitAddress } from '../../src/connection/splitAddress.js';
 import { writeJson } from '../../src/connection/http/writeJson.js';
 import {
-  BEAT_PREFIX,
+  HEARTBEAT_PREFIX,
   EXPECT_INSTANCE_HEADER,
   HOLD_PATH,
   RUN_START_PATH,
@@ -257,7 +257,7 @@
     });
     const { host, port } = splitAddress(control);
     const headers = { 'content-type': 'application/json', 'content-length': String(Buffer.byteLength(body)) };
-    const outgoing = sendRequest({ host, port, method: 'POST', path: `${BEAT_PREFIX}${id}`, headers });
+    const outgoing = sendRequest({ host, port, method: 'POST', path: `${HEARTBEAT_PREFIX}${id}`, headers });
     outgoing.on('response', (incoming) => incoming.resume());
     outgoing.on('error', () => undefined);
     outgoing.end(body);
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import * as fc from 'fast-check';
 
-import { parseBeat } from '../platform/parseBeat.js';
+import { parseHeartbeat } from '../platform/parseHeartbeat.js';
 import { parseConfiguration } from '../platform/parseConfiguration.js';
 import { parseJob } from '../platform/parseJob.js';
 import { parseLogRecords } from '../platform/parseLogRecords.js';
@@ -76,7 +76,7 @@
 function readWhole(text: string): void {
   parseJob(text);
   parseConfiguration(text);
-  parseBeat('i', text);
+  parseHeartbeat('i', text);
   parsePeerMessage(text);
   try {
     parseNewest(Buffer.from(text));
@@ -133,7 +133,7 @@
       [2, []],
       [1, [0]],
     ]);
-    expect(parseBeat('i', JSON.stringify(HEARTBEAT)).report).to.deep.include({ id: 'i', sequence: 7 });
+    expect(parseHeartbeat('i', JSON.stringify(HEARTBEAT)).report).to.deep.include({ id: 'i', sequence: 7 });
     const { configuration, findings } = parseConfiguration(JSON.stringify(CONFIGURATION));
     expect([configuration?.version, configuration?.routes[0]?.host, findings]).to.deep.equal([
       3,
--- a/test/fakes/PlatformBench.ts
+++ b/test/fakes/PlatformBench.ts
@@ -10,7 +10,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 
-import { BEAT_PREFIX, DEADLINE_HEADER, READY_PATH } from '../../platform/names.js';
+import { HEARTBEAT_PREFIX, DEADLINE_HEADER, READY_PATH } from '../../platform/names.js';
 import { splitAddress } from '../../src/connection/splitAddress.js';
 import { LoopbackProxy } from './LoopbackProxy.js';
 import { RunnerStandin } from '../../standins/protocol/RunnerStandin.js';
@@ -239,7 +239,7 @@
   /** Sends a heartbeat to an agent, as another writer would; returns the status of the answer. */
   async sendHeartbeat(agent: string, id: string, body: object): Promise<number> {
     const headers = { 'content-type': 'application/json' };
-    const path = `${BEAT_PREFIX}${id}`;
+    const path = `${HEARTBEAT_PREFIX}${id}`;
     const { control } = this.ports;
     return (await send(findIp(agent), control, 'POST', path, JSON.stringify(body), headers)).status;
   }
--- a/test/otherWriters.test.ts
+++ b/test/otherWriters.test.ts
@@ -7,7 +7,7 @@
 import { HttpUpstreamRegistry } from '../platform/HttpUpstreamRegistry.js';
 import { LogConfigurationSource } from '../platform/LogConfigurationSource.js';
 import { LogUpstreamReportStore } from '../platform/LogUpstreamReportStore.js';
-import { BEAT_PREFIX, LEAVE_PREFIX } from '../platform/names.js';
+import { HEARTBEAT_PREFIX, DEREGISTER_PREFIX } from '../platform/names.js';
 import type { UpstreamReport } from '../src/ports/UpstreamRegistry.js';
 import { OperatorExchange } from '../src/process/OperatorExchange.js';
 import { PlatformBench } from './fakes/PlatformBench.js';
@@ -85,11 +85,12 @@
       const bytes = Buffer.from(JSON.stringify(HEARTBEAT));
       bytes[bytes.indexOf('"s"') + 1] = 0xff;
       bodies.push(bytes);
-      for (const body of bodies) expect(await send(`${BEAT_PREFIX}i-1`, body), String(body)).to.equal(400);
-      expect(await send(BEAT_PREFIX, JSON.stringify(HEARTBEAT))).to.equal(400);
-      expect(await send(`${LEAVE_PREFIX}i-1`, UNREADABLE)).to.equal(400);
+      for (const body of bodies)
+        expect(await send(`${HEARTBEAT_PREFIX}i-1`, body), String(body)).to.equal(400);
+      expect(await send(HEARTBEAT_PREFIX, JSON.stringify(HEARTBEAT))).to.equal(400);
+      expect(await send(`${DEREGISTER_PREFIX}i-1`, UNREADABLE)).to.equal(400);
       expect([reports, left, rejected]).to.deep.equal([[], [], bodies.length + 2]);
-      expect(await send(`${BEAT_PREFIX}i-1`, JSON.stringify({ ...HEARTBEAT, new: ODD }))).to.equal(200);
+      expect(await send(`${HEARTBEAT_PREFIX}i-1`, JSON.stringify({ ...HEARTBEAT, new: ODD }))).to.equal(200);
       expect(reports.map(({ id }) => id)).to.deep.equal(['i-1']);
     });
   });
