--- a/src/process/executor/AnswerMonitor.ts
+++ b/src/process/executor/AnswerMonitor.ts
@@ -32,7 +32,7 @@
 
   /** Answer timeout, ms. */
   get timeoutMs(): number {
-    return this.timeout.read();
+    return this.timeout.compute();
   }
 
   /** Whether a call has timed out recently. */
@@ -44,14 +44,14 @@
   recordAnswer(now: number, tookMs?: number): void {
     this.answeredAt = now;
     this.consecutiveTimeouts = 0;
-    if (tookMs !== undefined) this.timeout.noteAnswer(tookMs);
+    if (tookMs !== undefined) this.timeout.recordAnswer(tookMs);
   }
 
   /** Records a timeout; it counts only if no other call has been answered since the call was sent. */
   recordTimeout(sentAt: number, now: number): void {
     this.timedOutAt = now;
     if (this.answeredAt > sentAt) return;
-    this.timeout.noteSilence();
+    this.timeout.recordTimeout();
     this.consecutiveTimeouts += 1;
   }
 }
--- a/src/process/executor/DispatcherLinks.ts
+++ b/src/process/executor/DispatcherLinks.ts
@@ -145,9 +145,9 @@
   /** Dials wanted dispatchers, and closes links that are unwanted or unresponsive. */
   updateLinks(): void {
     const now = this.clock.now();
-    this.dialer.review();
+    this.dialer.checkPongs();
     const wanted = this.directory.chooseLinks(now);
-    for (const address of wanted) this.dialer.keep(address);
+    for (const address of wanted) this.dialer.add(address);
     for (const address of this.dialer.addresses) this.updateLink(address, wanted.has(address), now);
     this.updatePreferred(now);
   }
@@ -155,7 +155,7 @@
   /** Sends the pings that are due, and dials links again whose pong is overdue. */
   sendDuePings(): void {
     const now = this.clock.now();
-    this.dialer.review();
+    this.dialer.checkPongs();
     const links = [...this.links.values()];
     if (!links.some((link) => this.isPingDue(link, now))) return;
     for (const link of links) if (this.isOlderPing(link, now, BATCH_PING_INTERVALS)) this.sendPing(link, now);
@@ -228,19 +228,19 @@
   private updateLink(address: string, isWanted: boolean, now: number): void {
     const link = this.links.get(address);
     if (!link) {
-      if (!isWanted) this.dialer.forget(address);
+      if (!isWanted) this.dialer.remove(address);
       return;
     }
     if (isWanted) return this.updateWantedLink(link, now);
     if (link.retiringSince === undefined) return this.setRetiring(link, now);
     if (now - link.retiringSince < MIN_RETIRING_MS || this.executor.countHeld(link.incarnation) > 0) return;
-    this.dialer.forget(address);
+    this.dialer.remove(address);
   }
 
   private updateWantedLink(link: DispatcherLink, now: number): void {
     if (link.retiringSince !== undefined) this.setRetiring(link, undefined);
     if (link.incarnation === '' && now - link.openedAt > WELCOME_TIMEOUT_MS)
-      this.dialer.renew(link.address, 'silent');
+      this.dialer.reconnect(link.address, 'silent');
   }
 
   private setRetiring(link: DispatcherLink, since: number | undefined): void {
