--- a/bench/dispatchDefects.ts
+++ b/bench/dispatchDefects.ts
@@ -6,8 +6,8 @@
   {
     name: 'tasks of a silent agent are started elsewhere at once',
     file: 'src/process/dispatcher/Dispatcher.js',
-    find: 'if (now <= agent.heardAt + agent.orphanMs)',
-    replace: 'if (now <= agent.heardAt + 150)',
+    find: 'if (now <= executor.lastReceivedAt + executor.orphanMs)',
+    replace: 'if (now <= executor.lastReceivedAt + 150)',
   },
   {
     name: 'an agent lets the tasks of a silent entry run on',
@@ -18,8 +18,8 @@
   {
     name: 'a start that was long on its way does not expire',
     file: 'src/process/dispatcher/Dispatcher.js',
-    find: 'agent.estimateClock(now) + this.options.pingMs * START_EXPIRY_PINGS',
-    replace: 'agent.estimateClock(now) + 60_000',
+    find: 'executor.estimateClock(now) + this.options.pingMs * START_EXPIRY_PING_INTERVALS',
+    replace: 'executor.estimateClock(now) + 60_000',
   },
   {
     name: 'a new link loses what the agent still holds',
@@ -30,7 +30,7 @@
   {
     name: 'a new life of an agent counts before it has stopped what ran',
     file: 'src/process/dispatcher/Dispatcher.js',
-    find: "if (agent.room?.state !== 'ready')\n            return;\n        for (const earlier",
+    find: "if (executor.report?.state !== 'ready')\n            return;\n        for (const earlier",
     replace: 'for (const earlier',
   },
   {
@@ -54,14 +54,14 @@
   {
     name: 'what a caller has left is not stopped',
     file: 'src/process/dispatcher/Dispatcher.js',
-    find: "this.effects.send(task.agent, { type: 'stop'",
-    replace: "void (task.agent, { type: 'stop'",
+    find: "this.effects.send(task.executorId, { type: 'stop'",
+    replace: "void (task.executorId, { type: 'stop'",
   },
   {
     name: 'a job that has run is refused',
     file: 'src/process/dispatcher/Dispatcher.js',
-    find: 'const mayHaveRun = job.begun || job.out > 0;',
-    replace: 'const mayHaveRun = job.out > 0; job.begun = false;',
+    find: 'const mayHaveRun = job.begun || job.outstanding > 0;',
+    replace: 'const mayHaveRun = job.outstanding > 0; job.begun = false;',
   },
   {
     name: 'a start is repeated under a new run',
--- a/src/process/dispatcher/Admission.test.ts
+++ b/src/process/dispatcher/Admission.test.ts
@@ -4,7 +4,7 @@
 import { FakeCaller } from '../../../test/fakes/FakeCaller.js';
 import { ForecastAdmission } from './Admission.js';
 import { ExecutorView } from './ExecutorView.js';
-import { createDispatchJob, stepTask } from './dispatchJob.js';
+import { createDispatchJob, transitionTask } from './dispatchJob.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import type { CapacityView } from './CapacityForecast.js';
 
@@ -19,11 +19,11 @@
 
 describe('ForecastAdmission', () => {
   let admission: ForecastAdmission;
-  let agent: ExecutorView;
+  let executor: ExecutorView;
   let waiting: DispatchTask[];
 
-  /** Has an agent of two cores, which runs one task of a core in each of them, and has told no room. */
-  function fillRoom(free = 0): void {
+  /** Creates an executor of two cores that runs a task in each, and reports the given free CPU. */
+  function reportCapacity(free = 0): void {
     const hello = {
       agent: 'a',
       life: '1',
@@ -33,100 +33,100 @@
       entryLife: '',
       orphanMs: 1,
     };
-    agent = new ExecutorView({ type: 'agent-hello', ...hello }, NOW);
+    executor = new ExecutorView({ type: 'agent-hello', ...hello }, NOW);
     const description = { upstream: 'u', service: ROUTE.service, labels: [], capacity: CAPACITY };
-    const told = { ...CAPACITY, cpuMilli: free };
-    agent.recordCapacity(
-      { description, state: 'ready', trust: 'healthy', free: told, startsSeen: 0, speed: 1 },
+    const reported = { ...CAPACITY, cpuMilli: free };
+    executor.recordCapacity(
+      { description, state: 'ready', trust: 'healthy', free: reported, startsSeen: 0, speed: 1 },
       NOW,
     );
     for (const task of createJob('running', 2).tasks) sendTask(task);
   }
 
   function sendTask(task: DispatchTask): void {
-    task.agent = agent.id;
+    task.executorId = executor.id;
     task.sentAt = NOW - STEP.estimateMs;
-    stepTask(task, 'send');
-    admission.noteSent(task);
+    transitionTask(task, 'send');
+    admission.recordSent(task);
   }
 
-  /** Tasks end as fast as they were estimated. */
-  function noteEnds(): void {
+  /** Records tasks that took exactly as long as estimated. */
+  function recordEnds(): void {
     for (const task of createJob('ended', 20).tasks) {
       sendTask(task);
-      admission.noteEnded(task, true, NOW);
+      admission.recordEnded(task, true, NOW);
     }
   }
 
   function queue(job: DispatchJob): DispatchJob {
-    admission.noteArrived(job, NOW);
+    admission.recordArrived(job, NOW);
     waiting.push(...job.tasks.filter(({ phase }) => phase === 'waiting'));
     return job;
   }
 
-  function view(now = NOW): CapacityView {
-    const listAgents = (): ExecutorView[] => [agent];
-    return { now, typicalSpeed: 1, staleMs: 200, listExecutors: listAgents, listWaiting: () => waiting };
+  function buildView(now = NOW): CapacityView {
+    const listExecutors = (): ExecutorView[] => [executor];
+    return { now, typicalSpeed: 1, staleMs: 200, listExecutors, listWaiting: () => waiting };
   }
 
   beforeEach(() => {
     admission = new ForecastAdmission(() => 0.5);
     waiting = [];
-    fillRoom();
+    reportCapacity();
   });
 
-  it('refuses at arrival what the work before it leaves no time for, and keeps what is before', () => {
-    noteEnds();
+  it('refuses on arrival a job that the work ahead leaves no time for, and keeps the jobs ahead', () => {
+    recordEnds();
     const first = queue(createJob('first', 4));
     queue(createJob('middle', 20));
     const last = queue(createJob('last', 1));
-    expect(admission.findReason(first, view())).to.equal(undefined);
-    expect(admission.findReason(last, view())).to.equal('no-room');
+    expect(admission.findReason(first, buildView())).to.equal(undefined);
+    expect(admission.findReason(last, buildView())).to.equal('no-room');
   });
 
-  it('keeps all while nothing is known: no end was seen, or no agent is usable', () => {
+  it('keeps all jobs while no task has ended or no executor is usable', () => {
     queue(createJob('before', 40));
     const job = queue(createJob('job', 1));
-    expect(admission.findReason(job, view())).to.equal(undefined);
-    noteEnds();
-    agent.linked = false;
-    expect(admission.findReason(job, view(NOW + 1))).to.equal(undefined);
+    expect(admission.findReason(job, buildView())).to.equal(undefined);
+    recordEnds();
+    executor.linked = false;
+    expect(admission.findReason(job, buildView(NOW + 1))).to.equal(undefined);
   });
 
-  it('keeps what fits into room that is free, whatever else waits', () => {
-    fillRoom(1_000);
-    noteEnds();
+  it('keeps a job that fits into free capacity, regardless of other waiting jobs', () => {
+    reportCapacity(1_000);
+    recordEnds();
     queue(createJob('before', 40));
-    expect(admission.findReason(queue(createJob('job', 1)), view())).to.equal(undefined);
+    expect(admission.findReason(queue(createJob('job', 1)), buildView())).to.equal(undefined);
   });
 
-  it('keeps what has begun, and what needs a label: others do not wait for that room', () => {
-    noteEnds();
+  it('keeps a job that has begun, and one that requires a label', () => {
+    recordEnds();
     queue(createJob('before', 40));
     const begun = queue(createJob('begun', 1));
     begun.begun = true;
     const labelled = queue(createJob('labelled', 1, { ...STEP, requiredLabel: 'rack' }));
-    for (const job of [begun, labelled]) expect(admission.findReason(job, view())).to.equal(undefined);
+    for (const job of [begun, labelled]) expect(admission.findReason(job, buildView())).to.equal(undefined);
   });
 
-  it('counts what is refused as gone, so that those behind it are kept', () => {
-    noteEnds();
+  it('excludes refused jobs from the queue, so that jobs behind them are kept', () => {
+    recordEnds();
     const wide = queue(createJob('wide', 40));
     const job = queue(createJob('job', 1));
-    expect(admission.findReason(job, view())).to.equal('no-room');
+    expect(admission.findReason(job, buildView())).to.equal('no-room');
     waiting = waiting.filter((task) => task.job !== wide);
-    admission.noteRefused(wide);
-    expect(admission.findReason(job, view())).to.equal(undefined);
+    admission.recordRefused(wide);
+    expect(admission.findReason(job, buildView())).to.equal(undefined);
   });
 
-  it('refuses few at one moment: each refusal is judged without what was refused before it', () => {
-    noteEnds();
+  it('limits refusals at one time: each is decided without the jobs refused before', () => {
+    recordEnds();
     queue(createJob('before', 60));
     const jobs = Array.from({ length: 20 }, (_, at) => queue(createJob(`job${at}`, 1)));
     const refuseDue = (now: number): number => {
       const due = jobs.filter((job) => {
-        job.answered ||= admission.findReason(job, view(now)) === 'no-room';
-        if (job.answered) admission.noteRefused(job);
+        job.answered ||= admission.findReason(job, buildView(now)) === 'no-room';
+        if (job.answered) admission.recordRefused(job);
         return job.answered;
       });
       for (const job of due) jobs.splice(jobs.indexOf(job), 1);
@@ -137,21 +137,21 @@
     expect(refuseDue(NOW + 2)).to.equal(4);
   });
 
-  it('has callers come back when the room has drained, spread, not sooner than a second nor later than ten', () => {
-    noteEnds();
+  it('computes a retry delay from the backlog, with jitter, between one and ten seconds', () => {
+    recordEnds();
     const job = queue(createJob('job', 1));
-    expect(admission.findRetryMs(job, view())).to.equal(2_500);
+    expect(admission.findRetryMs(job, buildView())).to.equal(2_500);
     queue(createJob('more', 60));
-    // 61 tasks of 100 ms in two cores take 3,050 ms.
-    expect(admission.findRetryMs(job, view())).to.be.within(4_500, 4_600);
+    // 61 tasks of 100 ms on two cores take 3,050 ms.
+    expect(admission.findRetryMs(job, buildView())).to.be.within(4_500, 4_600);
     queue(createJob('most', 1_000));
-    expect(admission.findRetryMs(job, view())).to.equal(8_500);
+    expect(admission.findRetryMs(job, buildView())).to.equal(8_500);
   });
 
-  it('tells with a refusal what it went by', () => {
-    noteEnds();
+  it('describes the forecast behind a refusal', () => {
+    recordEnds();
     const job = queue(createJob('job', 40));
-    const figures = admission.describeForecast(job, view());
+    const figures = admission.describeForecast(job, buildView());
     expect(figures).to.include({ waitMs: 2_000, drainCores: 2, freeCpu: 0, ageMs: 0 });
   });
 });
--- a/src/process/dispatcher/Backlog.test.ts
+++ b/src/process/dispatcher/Backlog.test.ts
@@ -21,7 +21,7 @@
 }
 
 describe('Backlog', () => {
-  it('puts tasks that cannot end in time any more behind those that can', () => {
+  it('lists tasks that cannot end in time after those that can', () => {
     const backlog = new Backlog();
     for (const job of [createJob('old', 1, 0), createJob('new', 1, 100)]) {
       for (const task of job.tasks) backlog.add(task);
@@ -31,11 +31,11 @@
     expect(listIds(backlog, tooLate)).to.deep.equal(['new0', 'old0']);
   });
 
-  it('serves first, of the late, those of the job that lacks least', () => {
+  it('lists the late tasks of the job with the least remaining work first', () => {
     const backlog = new Backlog();
     const wide = createJob('wide', 3, 0);
     const nearlyDone = createJob('last', 2, 1);
-    nearlyDone.left = 1;
+    nearlyDone.remaining = 1;
     for (const task of wide.tasks) backlog.add(task);
     const [, last] = nearlyDone.tasks;
     if (last) backlog.add(last);
@@ -43,7 +43,7 @@
     expect(listIds(backlog, OBJECTIVE_MS + 1)).to.deep.equal(['last1', 'wide0', 'wide1', 'wide2']);
   });
 
-  it('judges by the typical speed whether a task can end in time', () => {
+  it('uses the typical speed to decide whether a task can end in time', () => {
     const backlog = new Backlog();
     for (const task of createJob('job', 1, 0).tasks) backlog.add(task);
     for (const task of createJob('next', 1, 90).tasks) backlog.add(task);
--- a/src/process/dispatcher/Backlog.ts
+++ b/src/process/dispatcher/Backlog.ts
@@ -1,10 +1,10 @@
-/** Tasks of one entry that wait for an agent, kept by rank and listed in the order in which they are offered. */
+/** Tasks of a dispatcher that wait for an executor, kept by rank and listed in the order of placement. */
 import type { QueueRoute } from '../../version/configuration.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import { DeadlineOrder } from './TaskOrder.js';
 import type { TaskOrder } from './TaskOrder.js';
 
-/** Waiting tasks. */
+/** Waiting tasks, sorted by rank. */
 export class Backlog {
   private readonly tasks: DispatchTask[] = [];
 
@@ -14,7 +14,7 @@
     return this.tasks.length;
   }
 
-  /** Processor room that the waiting tasks ask for, thousandths of a core. */
+  /** Sums the CPU that the waiting tasks require, thousandths of a core. */
   sumCpuMilli(): number {
     let cpuMilli = 0;
     for (const { phase, need } of this.tasks) if (phase === 'waiting') cpuMilli += need.resources.cpuMilli;
@@ -31,23 +31,23 @@
     return counts;
   }
 
-  /** Adds what waits of a job that has arrived. */
+  /** Adds the waiting tasks of a new job. */
   admit(job: DispatchJob, now: number): void {
-    this.order.noteArrived(job, now);
+    this.order.recordArrived(job, now);
     for (const task of job.tasks) if (task.phase === 'waiting') this.add(task);
   }
 
-  /** A task was sent; it is removed with the next `prune`. */
-  noteSent(task: DispatchTask, now: number): void {
-    this.order.noteSent(task, now);
+  /** Records that a task was sent; `prune` removes it. */
+  recordSent(task: DispatchTask, now: number): void {
+    this.order.recordSent(task, now);
   }
 
-  /** A task that was sent was not run. */
-  noteReturned(task: DispatchTask, now: number): void {
-    this.order.noteReturned(task, now);
+  /** Records that a task was returned without having run. */
+  recordReturned(task: DispatchTask, now: number): void {
+    this.order.recordReturned(task, now);
   }
 
-  /** Adds a task behind those of its rank. */
+  /** Inserts a task after those of the same rank. */
   add(task: DispatchTask): void {
     let low = 0;
     let high = this.tasks.length;
@@ -68,7 +68,7 @@
     this.tasks.length = kept;
   }
 
-  /** Tasks in the order in which they are offered. */
+  /** Lists the tasks in the order of placement. */
   list(now: number, typicalSpeed: number): DispatchTask[] {
     return this.order.list(this.tasks, { now, typicalSpeed });
   }
--- a/src/process/dispatcher/CapacityForecast.ts
+++ b/src/process/dispatcher/CapacityForecast.ts
@@ -1,150 +1,150 @@
 /**
- * What a dispatcher's part of the room of one service is expected to serve. Work is in thousandths of a core times ms of
- * estimates; a drain is work per ms.
+ * Forecasts how fast a dispatcher's share of the capacity of one service works off its queue. Work is in
+ * thousandths of a core times estimated ms; a service rate is work per ms.
  */
 import type { StepNeed } from '../../request/dispatch/submission.js';
 import type { ExecutorView } from './ExecutorView.js';
-import { findWork, measureWork } from './dispatchJob.js';
+import { computeJobWork, computeTaskWork } from './dispatchJob.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import { SLOW_SHARE } from './Placement.js';
 import { RateMeter } from './RateMeter.js';
 
-/** Time over which the pace of ends is averaged, ms: longer than a task of most queues runs. */
-const PACE_MS = 2_000;
-/** Room whose ends must have been seen of late before the pace counts as known, thousandths of a core. */
-const KNOWN_CPU = 1_000;
-/** Time over which arriving work is averaged, ms: bursts last for seconds, and must be noticed in their first one. */
-const ARRIVALS_MS = 1_000;
+/** Time constant of the measured throughput, ms; longer than the tasks of most queues run. */
+const THROUGHPUT_WINDOW_MS = 2_000;
+/** CPU use of recently completed tasks below which the throughput is unknown, thousandths of a core. */
+const MIN_COMPLETED_CPU_MILLI = 1_000;
+/** Time constant of the arrival rate, ms; short enough to detect a burst within a second. */
+const ARRIVAL_WINDOW_MS = 1_000;
 
-/** Times that waiting work is counted at one moment: each refusal makes it less, and many may be due at once. */
-const MAX_COUNTS = 8;
+/** Maximum computations of the state for one time; each refusal makes the state stale. */
+const MAX_UPDATES = 8;
 
-/** What a forecast may know of the dispatcher. */
+/** State of the dispatcher that a forecast reads. */
 export interface CapacityView {
   readonly now: number;
   readonly typicalSpeed: number;
-  /** Age of a ping from which on an agent is not used, ms. */
+  /** Age of the last message after which an executor is not used, ms. */
   readonly staleMs: number;
   readonly listExecutors: () => readonly ExecutorView[];
-  /** Waiting tasks in the order in which they are offered. */
+  /** Lists the waiting tasks in the order of placement. */
   readonly listWaiting: () => readonly DispatchTask[];
 }
 
-/** The room at one moment. */
+/** Capacity of a service at one time. */
 export interface CapacityState {
-  /** Room of usable agents that nothing takes, thousandths of a core. */
+  /** Free capacity of usable executors, thousandths of a core. */
   readonly freeCpu: number;
-  /** Work per ms that the room does, free or taken by us. */
+  /** Service rate of the free capacity and of the capacity used by this dispatcher, work per ms. */
   readonly serviceRate: number;
-  /** Work per ms that one thousandth of a core does, as measured. */
+  /** Measured work per ms of one thousandth of a core. */
   readonly throughput: number;
-  /** Part of the drain that arriving work asks for. */
+  /** Arrival rate of work as a fraction of the service rate. */
   readonly demand: number;
-  /** Work that waits, up to the last task of each job. */
+  /** Waiting work up to and including the last task of each job. */
   readonly workUntil: ReadonlyMap<DispatchJob, number>;
   readonly waitingWork: number;
 }
 
-/** What was measured at one moment. */
+/** Cached capacity for one time. */
 interface MeasuredState {
   readonly now: number;
-  room: CapacityState | undefined;
-  /** Whether something that waited then is gone. */
+  capacity: CapacityState | undefined;
+  /** Whether a waiting job was dropped since. */
   isStale: boolean;
-  /** How often it was measured at that moment. */
-  counts: number;
+  /** Number of computations for this time. */
+  updates: number;
 }
 
-/** Forecast for one service. */
+/** Capacity forecast for one service. */
 export class CapacityForecast {
-  private readonly doneWork = new RateMeter(PACE_MS);
-  private readonly doneCost = new RateMeter(PACE_MS);
-  private readonly arrivals = new RateMeter(ARRIVALS_MS);
-  /** What our attempts take of each life of an agent, thousandths of a core. */
-  private readonly taken = new Map<string, number>();
+  private readonly completedWork = new RateMeter(THROUGHPUT_WINDOW_MS);
+  private readonly completedCpuMs = new RateMeter(THROUGHPUT_WINDOW_MS);
+  private readonly arrivals = new RateMeter(ARRIVAL_WINDOW_MS);
+  /** CPU used by attempts of this dispatcher, by executor id, thousandths of a core. */
+  private readonly usedCpu = new Map<string, number>();
   private state: MeasuredState | undefined;
 
-  /** @param service - whose agents count */
+  /** @param service - service whose executors are counted */
   constructor(private readonly service: string) {}
 
-  /** Work per ms that the room was last found to do; 0 while nothing is known. */
+  /** Latest service rate, work per ms; 0 while it is unknown. */
   get lastServiceRate(): number {
-    return this.state?.room?.serviceRate ?? 0;
+    return this.state?.capacity?.serviceRate ?? 0;
   }
 
-  /** Counts work that callers ask for. */
+  /** Records the work of a new job. */
   recordArrived(job: DispatchJob, now: number): void {
     this.state = undefined;
-    this.arrivals.add(findWork(job), now);
+    this.arrivals.add(computeJobWork(job), now);
   }
 
-  /** An attempt takes room from now on. */
-  recordSent({ agent, need }: DispatchTask): void {
-    this.taken.set(agent, (this.taken.get(agent) ?? 0) + need.resources.cpuMilli);
+  /** Records that an attempt uses capacity. */
+  recordSent({ executorId, need }: DispatchTask): void {
+    this.usedCpu.set(executorId, (this.usedCpu.get(executorId) ?? 0) + need.resources.cpuMilli);
   }
 
-  /** An attempt has ended; its agent and the time of its sending are still known. */
+  /** Records the end of an attempt; `executorId` and `sentAt` of the task are still those of the attempt. */
   recordEnded(task: DispatchTask, isDone: boolean, now: number): void {
     const { cpuMilli } = task.need.resources;
-    const taken = (this.taken.get(task.agent) ?? 0) - cpuMilli;
-    if (taken > 0) this.taken.set(task.agent, taken);
-    else this.taken.delete(task.agent);
+    const usedCpu = (this.usedCpu.get(task.executorId) ?? 0) - cpuMilli;
+    if (usedCpu > 0) this.usedCpu.set(task.executorId, usedCpu);
+    else this.usedCpu.delete(task.executorId);
     if (!isDone) return;
-    this.doneWork.add(measureWork(task), now);
-    this.doneCost.add(cpuMilli * (now - task.sentAt), now);
+    this.completedWork.add(computeTaskWork(task), now);
+    this.completedCpuMs.add(cpuMilli * (now - task.sentAt), now);
   }
 
-  /** A job does not wait any more. */
+  /** Records that a waiting job was dropped. */
   recordDropped(): void {
     if (this.state) this.state.isStale = true;
   }
 
   /**
-   * Finds the state of the room as it was first measured at this moment.
+   * Finds the capacity as it was first computed for this time.
    *
-   * @returns undefined while no agent is usable or too little has ended of late
+   * @returns undefined while no executor is usable or too few tasks have completed recently
    */
   findState(view: CapacityView): CapacityState | undefined {
-    return this.measure(view).room;
+    return this.measureState(view).capacity;
   }
 
   /**
-   * Finds the state of the room without what was dropped at this moment.
+   * Finds the capacity without the jobs that were dropped at this time.
    *
-   * @returns undefined also when that was measured often enough at this moment
+   * @returns undefined also after `MAX_UPDATES` computations for this time
    */
   findLatestState(view: CapacityView): CapacityState | undefined {
-    const state = this.measure(view);
-    if (!state.isStale) return state.room;
-    if (state.counts === MAX_COUNTS) return undefined;
-    state.counts += 1;
+    const state = this.measureState(view);
+    if (!state.isStale) return state.capacity;
+    if (state.updates === MAX_UPDATES) return undefined;
+    state.updates += 1;
     state.isStale = false;
-    state.room = this.measureRoom(view);
-    return state.room;
+    state.capacity = this.measureCapacity(view);
+    return state.capacity;
   }
 
-  private measure(view: CapacityView): MeasuredState {
+  private measureState(view: CapacityView): MeasuredState {
     if (this.state?.now === view.now) return this.state;
-    this.state = { now: view.now, room: this.measureRoom(view), isStale: false, counts: 1 };
+    this.state = { now: view.now, capacity: this.measureCapacity(view), isStale: false, updates: 1 };
     return this.state;
   }
 
-  private measureRoom(view: CapacityView): CapacityState | undefined {
+  private measureCapacity(view: CapacityView): CapacityState | undefined {
     const { now } = view;
-    const cost = this.doneCost.read(now);
-    if (cost < KNOWN_CPU) return undefined;
-    const pace = this.doneWork.read(now) / cost;
+    const completedCpu = this.completedCpuMs.read(now);
+    if (completedCpu < MIN_COMPLETED_CPU_MILLI) return undefined;
+    const throughput = this.completedWork.read(now) / completedCpu;
     let freeCpu = 0;
-    let takenCpu = 0;
-    for (const agent of view.listExecutors()) {
-      if (!this.isUsable(agent, view)) continue;
-      freeCpu += Math.max(0, agent.free.cpuMilli);
-      takenCpu += this.taken.get(agent.id) ?? 0;
+    let usedCpu = 0;
+    for (const executor of view.listExecutors()) {
+      if (!this.isUsable(executor, view)) continue;
+      freeCpu += Math.max(0, executor.free.cpuMilli);
+      usedCpu += this.usedCpu.get(executor.id) ?? 0;
     }
-    const drain = (freeCpu + takenCpu) * pace;
-    if (drain === 0) return undefined;
-    const demand = this.arrivals.read(now) / drain;
-    return { freeCpu, serviceRate: drain, throughput: pace, demand, ...this.sumWaiting(view) };
+    const serviceRate = (freeCpu + usedCpu) * throughput;
+    if (serviceRate === 0) return undefined;
+    const demand = this.arrivals.read(now) / serviceRate;
+    return { freeCpu, serviceRate, throughput, demand, ...this.sumWaiting(view) };
   }
 
   private sumWaiting({ listWaiting }: CapacityView): Pick<CapacityState, 'workUntil' | 'waitingWork'> {
@@ -152,20 +152,20 @@
     let waitingWork = 0;
     for (const task of listWaiting()) {
       if (task.job.submission.route.service !== this.service || !canRunAnywhere(task.need)) continue;
-      waitingWork += measureWork(task);
+      waitingWork += computeTaskWork(task);
       workUntil.set(task.job, waitingWork);
     }
     return { workUntil, waitingWork };
   }
 
-  private isUsable(agent: ExecutorView, { now, staleMs, typicalSpeed }: CapacityView): boolean {
-    const { room } = agent;
-    if (!room || room.service !== this.service || !agent.isReady(now, staleMs)) return false;
-    return room.trust !== 'suspect' && room.speed >= typicalSpeed * SLOW_SHARE;
+  private isUsable(executor: ExecutorView, { now, staleMs, typicalSpeed }: CapacityView): boolean {
+    const { report } = executor;
+    if (!report || report.service !== this.service || !executor.isReady(now, staleMs)) return false;
+    return report.trust !== 'suspect' && report.speed >= typicalSpeed * SLOW_SHARE;
   }
 }
 
-/** Whether any agent of the service will do: room with a label or GPUs is not what the others wait for. */
+/** Whether a task can run at any executor of the service: it requires neither a label nor GPUs. */
 export function canRunAnywhere({ requiredLabel, resources }: StepNeed): boolean {
   return requiredLabel === '' && resources.gpus === 0;
 }
--- a/src/process/dispatcher/Dispatcher.test.ts
+++ b/src/process/dispatcher/Dispatcher.test.ts
@@ -13,7 +13,7 @@
 import type { JobSubmission, StepNeed } from '../../request/dispatch/submission.js';
 import { Dispatcher } from './Dispatcher.js';
 import { SpeedPlacement } from './Placement.js';
-import { OpenWindow } from './SendWindow.js';
+import { UnboundedWindow } from './SendWindow.js';
 
 const STEP: StepNeed = { ...ONE_TASK, count: 2 };
 const PING_MS = 100;
@@ -23,28 +23,28 @@
   return { id: 'job', route: ROUTE, spec: 'text', steps: [STEP], patienceMs: 2_000, ...change };
 }
 
-class Bench {
-  readonly sent: { agent: string; message: DispatcherMessage }[] = [];
+class DispatcherFixture {
+  readonly sent: { executorId: string; message: DispatcherMessage }[] = [];
   readonly caller = new FakeCaller();
   readonly dispatcher = new Dispatcher(
     {
       pingMs: PING_MS,
       bounds: new JobBounds(WIDE_LIMITS),
       placement: new SpeedPlacement(1.5),
-      window: new OpenWindow(),
+      window: new UnboundedWindow(),
       nextRandom: () => 0.5,
     },
     {
-      send: (agent, message) => this.sent.push({ agent, message }),
+      send: (executorId, message) => this.sent.push({ executorId, message }),
       log: () => undefined,
-      noteOutcome: () => undefined,
+      recordOutcome: () => undefined,
     },
   );
 
-  link(agent: string, now: number, change: Partial<ExecutorHello> = {}): string {
+  link(processId: string, now: number, change: Partial<ExecutorHello> = {}): string {
     const base = { failureDomain: 'x', holding: [], results: [], entryLife: 'me', orphanMs: ORPHAN_MS };
     return this.dispatcher.handleHello(
-      { type: 'agent-hello', agent, life: '1', ...base, ...change },
+      { type: 'agent-hello', agent: processId, life: '1', ...base, ...change },
       'me',
       now,
     );
@@ -70,9 +70,9 @@
     this.dispatcher.place(now);
   }
 
-  get starts(): { agent: string; order: StartOrder }[] {
-    return this.sent.flatMap(({ agent, message }) =>
-      message.type === 'start' ? [{ agent, order: message }] : [],
+  get starts(): { executorId: string; order: StartOrder }[] {
+    return this.sent.flatMap(({ executorId, message }) =>
+      message.type === 'start' ? [{ executorId, order: message }] : [],
     );
   }
 
@@ -84,261 +84,260 @@
     const start = this.starts[at];
     if (!start) throw new Error('there is no such start');
     const result = { type: 'result', name: start.order.name, end, reason: 'test' } as const;
-    this.dispatcher.handleResult(start.agent, result, now);
+    this.dispatcher.handleResult(start.executorId, result, now);
     this.dispatcher.place(now);
   }
 }
 
 describe('Dispatcher', () => {
-  let bench: Bench;
+  let fixture: DispatcherFixture;
 
   beforeEach(() => {
-    bench = new Bench();
-    bench.ping(bench.link('a', 0), 0);
+    fixture = new DispatcherFixture();
+    fixture.ping(fixture.link('a', 0), 0);
   });
 
-  // The first message of an agent's earlier life, held up by a cut, came after its newer life had linked.
-  it('goes on using an agent when the greeting of its earlier life comes late', () => {
-    const newer = bench.link('a', 0, { life: '2' });
-    bench.ping(newer, 1);
-    bench.link('a', 2, { life: '1' });
-    bench.ping(newer, 3);
-    bench.submit(4);
-    expect(bench.starts.map(({ agent }) => agent)).to.deep.equal([newer, newer]);
+  it('keeps using an executor when the hello of its earlier incarnation arrives late', () => {
+    const newer = fixture.link('a', 0, { life: '2' });
+    fixture.ping(newer, 1);
+    fixture.link('a', 2, { life: '1' });
+    fixture.ping(newer, 3);
+    fixture.submit(4);
+    expect(fixture.starts.map(({ executorId }) => executorId)).to.deep.equal([newer, newer]);
   });
 
   it('completes a job when all tasks are done', () => {
-    bench.submit(10);
-    bench.end(0, 'done', 100);
-    expect(bench.caller.answers).to.deep.equal([]);
-    bench.end(1, 'done', 120);
-    expect(bench.caller.answers).to.deep.equal([{ kind: 'completed' }]);
-    expect(bench.dispatcher.openJobs).to.equal(0);
+    fixture.submit(10);
+    fixture.end(0, 'done', 100);
+    expect(fixture.caller.answers).to.deep.equal([]);
+    fixture.end(1, 'done', 120);
+    expect(fixture.caller.answers).to.deep.equal([{ kind: 'completed' }]);
+    expect(fixture.dispatcher.openJobs).to.equal(0);
   });
 
   it('starts a step only after the steps before it are done', () => {
-    bench.submit(10, { steps: [STEP, { ...STEP, count: 1, after: [0] }] });
-    expect(bench.starts.length).to.equal(2);
-    bench.end(0, 'done', 100);
-    bench.end(1, 'done', 120);
-    expect(bench.starts[2]?.order.name).to.include({ step: 1, index: 0 });
+    fixture.submit(10, { steps: [STEP, { ...STEP, count: 1, after: [0] }] });
+    expect(fixture.starts.length).to.equal(2);
+    fixture.end(0, 'done', 100);
+    fixture.end(1, 'done', 120);
+    expect(fixture.starts[2]?.order.name).to.include({ step: 1, index: 0 });
   });
 
-  it('does not call a job failed that has only run out of time', () => {
-    bench.submit(10);
-    bench.ping('a@1', 1_950);
-    bench.dispatcher.tick(1_990);
-    expect(bench.caller.answers).to.deep.equal([{ kind: 'interrupted', reason: 'deadline' }]);
-    expect(bench.stops).to.equal(2);
+  it('interrupts a job that runs past its deadline instead of failing it', () => {
+    fixture.submit(10);
+    fixture.ping('a@1', 1_950);
+    fixture.dispatcher.tick(1_990);
+    expect(fixture.caller.answers).to.deep.equal([{ kind: 'interrupted', reason: 'deadline' }]);
+    expect(fixture.stops).to.equal(2);
   });
 
-  it('calls a job failed after the attempts of the queue have failed', () => {
-    bench.submit(10, { steps: [{ ...STEP, count: 1 }] });
-    bench.end(0, 'failed', 20);
-    expect(bench.starts.length).to.equal(2);
-    bench.end(1, 'failed', 30);
-    expect(bench.caller.answers).to.deep.equal([{ kind: 'failed', reason: 'attempts' }]);
+  it('fails a job after the maximum number of attempts', () => {
+    fixture.submit(10, { steps: [{ ...STEP, count: 1 }] });
+    fixture.end(0, 'failed', 20);
+    expect(fixture.starts.length).to.equal(2);
+    fixture.end(1, 'failed', 30);
+    expect(fixture.caller.answers).to.deep.equal([{ kind: 'failed', reason: 'attempts' }]);
   });
 
-  it('refuses at once, without a start, a job whose caller waits for less than its work takes', () => {
-    bench.submit(10, { patienceMs: 60 });
-    expect(bench.caller.answers.map(({ kind }) => kind)).to.deep.equal(['refused']);
-    expect(bench.starts).to.deep.equal([]);
+  it('refuses on arrival a job whose caller timeout is shorter than its work', () => {
+    fixture.submit(10, { patienceMs: 60 });
+    expect(fixture.caller.answers.map(({ kind }) => kind)).to.deep.equal(['refused']);
+    expect(fixture.starts).to.deep.equal([]);
   });
 
-  it('refuses at once a job that nobody has started and that cannot be done in time', () => {
-    bench.ping('a@1', 0, { state: 'draining' });
-    bench.submit(10, { patienceMs: 200, steps: [{ ...STEP, estimateMs: 190 }] });
-    bench.dispatcher.tick(80);
-    expect(bench.caller.answers).to.deep.equal([
+  it('refuses a job that has not started and cannot end in time', () => {
+    fixture.ping('a@1', 0, { state: 'draining' });
+    fixture.submit(10, { patienceMs: 200, steps: [{ ...STEP, estimateMs: 190 }] });
+    fixture.dispatcher.tick(80);
+    expect(fixture.caller.answers).to.deep.equal([
       { kind: 'refused', reason: 'cannot-finish', retryAfterMs: 1_000 },
     ]);
   });
 
-  it('refuses, well before its caller gives up, a job that nobody could take', () => {
-    bench.ping('a@1', 0, { state: 'draining' });
-    bench.submit(0, { patienceMs: 4_000, steps: [{ ...STEP, estimateMs: 1_500 }] });
-    bench.dispatcher.tick(1_500);
-    expect(bench.caller.answers).to.deep.equal([]);
-    bench.dispatcher.tick(1_650);
-    expect(bench.caller.answers.map(({ kind }) => kind)).to.deep.equal(['refused']);
+  it('refuses a job that no executor could take, well before its caller timeout', () => {
+    fixture.ping('a@1', 0, { state: 'draining' });
+    fixture.submit(0, { patienceMs: 4_000, steps: [{ ...STEP, estimateMs: 1_500 }] });
+    fixture.dispatcher.tick(1_500);
+    expect(fixture.caller.answers).to.deep.equal([]);
+    fixture.dispatcher.tick(1_650);
+    expect(fixture.caller.answers.map(({ kind }) => kind)).to.deep.equal(['refused']);
   });
 
-  it('refuses a job that nobody could take once its answer would be of no use', () => {
-    bench.ping('a@1', 0, { state: 'draining' });
-    bench.submit(0, { patienceMs: 4_000 });
-    bench.dispatcher.tick(570);
-    expect(bench.caller.answers).to.deep.equal([]);
-    bench.dispatcher.tick(590);
-    expect(bench.caller.answers.map(({ kind }) => kind)).to.deep.equal(['refused']);
+  it('refuses a job that no executor could take, once its answer would be useless', () => {
+    fixture.ping('a@1', 0, { state: 'draining' });
+    fixture.submit(0, { patienceMs: 4_000 });
+    fixture.dispatcher.tick(570);
+    expect(fixture.caller.answers).to.deep.equal([]);
+    fixture.dispatcher.tick(590);
+    expect(fixture.caller.answers.map(({ kind }) => kind)).to.deep.equal(['refused']);
   });
 
-  it('stops what runs when the caller is gone, and starts nothing of the job again', () => {
-    bench.submit(10);
-    bench.dispatcher.abandon('job', bench.caller, 50);
-    expect(bench.stops).to.equal(2);
-    bench.end(0, 'stopped', 60);
-    bench.end(1, 'stopped', 60);
-    expect(bench.starts.length).to.equal(2);
+  it('stops running tasks when the caller disconnects, and starts none again', () => {
+    fixture.submit(10);
+    fixture.dispatcher.abandon('job', fixture.caller, 50);
+    expect(fixture.stops).to.equal(2);
+    fixture.end(0, 'stopped', 60);
+    fixture.end(1, 'stopped', 60);
+    expect(fixture.starts.length).to.equal(2);
   });
 
-  it('runs a job that is submitted again only after everything of the earlier submission has ended', () => {
-    bench.submit(10);
+  it('runs a resubmitted job only after all attempts of the earlier submission have ended', () => {
+    fixture.submit(10);
     const again = new FakeCaller();
-    bench.dispatcher.submit(buildSubmission(), again, 100);
-    bench.dispatcher.place(100);
-    expect(bench.starts.length).to.equal(2);
-    bench.end(0, 'stopped', 150);
-    bench.end(1, 'stopped', 150);
-    expect(bench.starts.length).to.equal(4);
+    fixture.dispatcher.submit(buildSubmission(), again, 100);
+    fixture.dispatcher.place(100);
+    expect(fixture.starts.length).to.equal(2);
+    fixture.end(0, 'stopped', 150);
+    fixture.end(1, 'stopped', 150);
+    expect(fixture.starts.length).to.equal(4);
   });
 
-  it('takes no late result of an earlier submission for one of the newest', () => {
+  it('ignores a late result of an earlier submission', () => {
     const steps = [{ ...STEP, count: 1 }];
-    bench.submit(10, { steps });
-    bench.dispatcher.abandon('job', bench.caller, 20);
-    bench.dispatcher.tick(1_100);
-    bench.ping('a@1', 1_110);
-    bench.submit(1_120, { steps });
-    expect(bench.starts.length).to.equal(2);
-    bench.end(0, 'not-run', 1_130);
-    bench.ping('a@1', 1_150);
-    bench.dispatcher.place(1_150);
-    expect(bench.starts.length).to.equal(2);
+    fixture.submit(10, { steps });
+    fixture.dispatcher.abandon('job', fixture.caller, 20);
+    fixture.dispatcher.tick(1_100);
+    fixture.ping('a@1', 1_110);
+    fixture.submit(1_120, { steps });
+    expect(fixture.starts.length).to.equal(2);
+    fixture.end(0, 'not-run', 1_130);
+    fixture.ping('a@1', 1_150);
+    fixture.dispatcher.place(1_150);
+    expect(fixture.starts.length).to.equal(2);
   });
 
-  it('waits for the orphan time of a silent agent before it starts its tasks elsewhere', () => {
-    bench.submit(10);
-    bench.ping(bench.link('b', 20), 20);
-    bench.dispatcher.handleClose('a@1', 'reset', 100);
+  it('waits for the orphan timeout of an unresponsive executor before it starts tasks elsewhere', () => {
+    fixture.submit(10);
+    fixture.ping(fixture.link('b', 20), 20);
+    fixture.dispatcher.handleClose('a@1', 'reset', 100);
     for (let now = 100; now <= 1_000; now += 50) {
-      bench.ping('b@1', now);
-      bench.dispatcher.tick(now);
-      bench.dispatcher.place(now);
+      fixture.ping('b@1', now);
+      fixture.dispatcher.tick(now);
+      fixture.dispatcher.place(now);
     }
-    expect(bench.starts.length).to.equal(2);
-    bench.ping('b@1', 1_010);
-    bench.dispatcher.tick(1_010);
-    bench.dispatcher.place(1_010);
-    expect(bench.starts.slice(2).map(({ agent }) => agent)).to.deep.equal(['b@1', 'b@1']);
+    expect(fixture.starts.length).to.equal(2);
+    fixture.ping('b@1', 1_010);
+    fixture.dispatcher.tick(1_010);
+    fixture.dispatcher.place(1_010);
+    expect(fixture.starts.slice(2).map(({ executorId }) => executorId)).to.deep.equal(['b@1', 'b@1']);
   });
 
-  it('starts tasks of an earlier life of an agent again once the next life takes work', () => {
-    bench.submit(10);
-    const id = bench.link('a', 300, { life: '2' });
-    bench.ping(id, 310, { state: 'joining' });
-    bench.dispatcher.place(310);
-    expect(bench.starts.length).to.equal(2);
-    bench.ping(id, 400);
-    bench.dispatcher.place(400);
-    expect(bench.starts.slice(2).map(({ agent }) => agent)).to.deep.equal(['a@2', 'a@2']);
+  it('restarts tasks of an earlier incarnation of an executor once the next one is ready', () => {
+    fixture.submit(10);
+    const id = fixture.link('a', 300, { life: '2' });
+    fixture.ping(id, 310, { state: 'joining' });
+    fixture.dispatcher.place(310);
+    expect(fixture.starts.length).to.equal(2);
+    fixture.ping(id, 400);
+    fixture.dispatcher.place(400);
+    expect(fixture.starts.slice(2).map(({ executorId }) => executorId)).to.deep.equal(['a@2', 'a@2']);
   });
 
-  it('takes results that were told on a broken link, and loses what is not held any more', () => {
-    bench.submit(10);
-    const [first, second] = bench.starts;
+  it('accepts results from the hello after a broken link, and restarts attempts that are not held', () => {
+    fixture.submit(10);
+    const [first, second] = fixture.starts;
     if (!first || !second) throw new Error('two starts');
-    bench.dispatcher.handleClose('a@1', 'reset', 50);
+    fixture.dispatcher.handleClose('a@1', 'reset', 50);
     const result = { type: 'result', name: first.order.name, end: 'done', reason: 'done' } as const;
-    bench.link('a', 60, { results: [result] });
-    bench.ping('a@1', 61);
-    bench.dispatcher.place(61);
-    expect(bench.starts.length).to.equal(3);
-    expect(bench.starts[2]?.order.name).to.include({ job: 'job', index: second.order.name.index });
+    fixture.link('a', 60, { results: [result] });
+    fixture.ping('a@1', 61);
+    fixture.dispatcher.place(61);
+    expect(fixture.starts.length).to.equal(3);
+    expect(fixture.starts[2]?.order.name).to.include({ job: 'job', index: second.order.name.index });
   });
 
-  it('has an agent stop what it still holds of a job that ended while the link was down', () => {
-    bench.submit(10, { steps: [{ ...STEP, count: 1 }] });
-    const [start] = bench.starts;
+  it('stops held attempts of a job that ended while the link was down', () => {
+    fixture.submit(10, { steps: [{ ...STEP, count: 1 }] });
+    const [start] = fixture.starts;
     if (!start) throw new Error('one start');
-    bench.dispatcher.handleClose('a@1', 'reset', 50);
-    bench.dispatcher.abandon('job', bench.caller, 60);
-    const stray = { job: 'unknown', step: 0, index: 0, attempt: 1 };
-    const before = bench.sent.length;
-    bench.link('a', 100, { holding: [start.order.name, stray] });
-    expect(bench.sent.slice(before).map(({ message }) => message)).to.deep.equal([
+    fixture.dispatcher.handleClose('a@1', 'reset', 50);
+    fixture.dispatcher.abandon('job', fixture.caller, 60);
+    const unknown = { job: 'unknown', step: 0, index: 0, attempt: 1 };
+    const before = fixture.sent.length;
+    fixture.link('a', 100, { holding: [start.order.name, unknown] });
+    expect(fixture.sent.slice(before).map(({ message }) => message)).to.deep.equal([
       { type: 'stop', name: start.order.name },
-      { type: 'stop', name: stray },
+      { type: 'stop', name: unknown },
     ]);
   });
 
-  it('ignores the result of an attempt that is not the newest', () => {
-    bench.submit(10, { steps: [{ ...STEP, count: 1 }] });
-    bench.end(0, 'lost', 20);
-    bench.end(0, 'done', 30);
-    expect(bench.caller.answers).to.deep.equal([]);
-    bench.end(1, 'done', 40);
-    expect(bench.caller.answers).to.deep.equal([{ kind: 'completed' }]);
+  it('ignores the result of an attempt that is not the latest', () => {
+    fixture.submit(10, { steps: [{ ...STEP, count: 1 }] });
+    fixture.end(0, 'lost', 20);
+    fixture.end(0, 'done', 30);
+    expect(fixture.caller.answers).to.deep.equal([]);
+    fixture.end(1, 'done', 40);
+    expect(fixture.caller.answers).to.deep.equal([{ kind: 'completed' }]);
   });
 
-  it('sends nothing to an agent whose pings are old', () => {
-    bench.submit(300);
-    expect(bench.starts).to.deep.equal([]);
+  it('sends no task to an executor whose last ping is too old', () => {
+    fixture.submit(300);
+    expect(fixture.starts).to.deep.equal([]);
   });
 
-  it('never sends more than the room that was told, less what is on its way', () => {
-    bench.ping('a@1', 5, { startsSeen: 0 });
-    bench.submit(10, { steps: [{ ...STEP, count: 6 }] });
-    expect(bench.starts.length).to.equal(4);
+  it('never sends more than the reported capacity less the starts in flight', () => {
+    fixture.ping('a@1', 5, { startsSeen: 0 });
+    fixture.submit(10, { steps: [{ ...STEP, count: 6 }] });
+    expect(fixture.starts.length).to.equal(4);
   });
 
-  it('takes the room of an attempt that has ended for free before it is told so', () => {
-    bench.ping('a@1', 5, { startsSeen: 0 });
-    bench.submit(10, { steps: [{ ...STEP, count: 6 }] });
-    bench.end(0, 'done', 20);
-    expect(bench.starts.length).to.equal(5);
-    bench.ping('a@1', 30, { startsSeen: 5, free: { cpuMilli: 0, memoryMb: 0, gpus: 0 } });
-    bench.dispatcher.place(30);
-    expect(bench.starts.length).to.equal(5);
+  it('reuses the capacity of an ended attempt before the next report', () => {
+    fixture.ping('a@1', 5, { startsSeen: 0 });
+    fixture.submit(10, { steps: [{ ...STEP, count: 6 }] });
+    fixture.end(0, 'done', 20);
+    expect(fixture.starts.length).to.equal(5);
+    fixture.ping('a@1', 30, { startsSeen: 5, free: { cpuMilli: 0, memoryMb: 0, gpus: 0 } });
+    fixture.dispatcher.place(30);
+    expect(fixture.starts.length).to.equal(5);
   });
 
-  it('waits to be told the room after an attempt that was not run', () => {
-    bench.ping('a@1', 5, { startsSeen: 0 });
-    bench.submit(10, { steps: [{ ...STEP, count: 6 }] });
-    bench.end(0, 'not-run', 20);
-    bench.dispatcher.place(60);
-    expect(bench.starts.length).to.equal(4);
+  it('waits for a capacity report after an attempt that was not run', () => {
+    fixture.ping('a@1', 5, { startsSeen: 0 });
+    fixture.submit(10, { steps: [{ ...STEP, count: 6 }] });
+    fixture.end(0, 'not-run', 20);
+    fixture.dispatcher.place(60);
+    expect(fixture.starts.length).to.equal(4);
   });
 
-  describe('while a failure domain is emptied', () => {
-    it('places nothing there, also where an agent links later, and refuses what fits nowhere else', () => {
-      const bench = new Bench();
-      const north = bench.link('a1', 0, { failureDomain: 'north' });
-      bench.ping(north, 0);
-      bench.dispatcher.setEmptied(['north']);
-      const later = bench.link('a2', 0, { failureDomain: 'north' });
-      bench.ping(later, 0);
-      expect(bench.dispatcher.hasExecutors(0)).to.equal(false);
-      bench.submit(0, { patienceMs: 300 });
-      bench.dispatcher.tick(250);
-      expect(bench.starts).to.deep.equal([]);
-      expect(bench.caller.answers[0]?.kind).to.equal('refused');
+  describe('with an emptied failure domain', () => {
+    it('places no task there, also at executors linked later, and refuses jobs that fit nowhere else', () => {
+      const fixture = new DispatcherFixture();
+      const north = fixture.link('a1', 0, { failureDomain: 'north' });
+      fixture.ping(north, 0);
+      fixture.dispatcher.setEmptied(['north']);
+      const later = fixture.link('a2', 0, { failureDomain: 'north' });
+      fixture.ping(later, 0);
+      expect(fixture.dispatcher.hasExecutors(0)).to.equal(false);
+      fixture.submit(0, { patienceMs: 300 });
+      fixture.dispatcher.tick(250);
+      expect(fixture.starts).to.deep.equal([]);
+      expect(fixture.caller.answers[0]?.kind).to.equal('refused');
     });
 
-    it('lets what runs there end, and answers the job whole', () => {
-      const bench = new Bench();
-      const north = bench.link('a1', 0, { failureDomain: 'north' });
-      bench.ping(north, 0);
-      bench.submit(0);
-      bench.dispatcher.setEmptied(['north']);
-      for (const { order } of bench.starts)
-        bench.dispatcher.handleResult(
+    it('lets running tasks there end and completes their job', () => {
+      const fixture = new DispatcherFixture();
+      const north = fixture.link('a1', 0, { failureDomain: 'north' });
+      fixture.ping(north, 0);
+      fixture.submit(0);
+      fixture.dispatcher.setEmptied(['north']);
+      for (const { order } of fixture.starts)
+        fixture.dispatcher.handleResult(
           north,
           { type: 'result', name: order.name, end: 'done', reason: '' },
           50,
         );
-      expect(bench.stops).to.equal(0);
-      expect(bench.caller.answers).to.deep.equal([{ kind: 'completed' }]);
+      expect(fixture.stops).to.equal(0);
+      expect(fixture.caller.answers).to.deep.equal([{ kind: 'completed' }]);
     });
 
-    it('places there again once it is taken back', () => {
-      const bench = new Bench();
-      const north = bench.link('a1', 0, { failureDomain: 'north' });
-      bench.ping(north, 0);
-      bench.dispatcher.setEmptied(['north', 'south']);
-      bench.dispatcher.setEmptied(['south']);
-      bench.submit(10);
-      expect(bench.starts).to.have.length(2);
+    it('places tasks there again once it is restored', () => {
+      const fixture = new DispatcherFixture();
+      const north = fixture.link('a1', 0, { failureDomain: 'north' });
+      fixture.ping(north, 0);
+      fixture.dispatcher.setEmptied(['north', 'south']);
+      fixture.dispatcher.setEmptied(['south']);
+      fixture.submit(10);
+      expect(fixture.starts).to.have.length(2);
     });
   });
 });
--- a/src/process/dispatcher/Dispatcher.ts
+++ b/src/process/dispatcher/Dispatcher.ts
@@ -1,9 +1,9 @@
 /**
- * The entry's decisions: which waiting task goes to which agent and when, and how a job ends.
+ * Decides which waiting task is sent to which executor and when, and how a job ends.
  *
- * A job lives as long as its caller waits. A task has at most one attempt that may run; the next is made only after
- * the agent has told its end, or after the time for which anything of ours can still run there (`orphanMs` after
- * the newest ping).
+ * A job is kept while its caller waits. A task has at most one attempt that may run. The next attempt is made
+ * only after the executor has reported the end of the previous one, or once that one cannot run any more:
+ * `orphanMs` after the latest ping.
  */
 import { assertInvariant } from '../../_lib/assertInvariant.js';
 import type {
@@ -27,7 +27,7 @@
 import { buildExecutorId } from './ExecutorView.js';
 import type { ExecutorView } from './ExecutorView.js';
 import { Backlog } from './Backlog.js';
-import { buildAttemptName, createDispatchJob, isOut, stepTask } from './dispatchJob.js';
+import { buildAttemptName, createDispatchJob, isOutstanding, transitionTask } from './dispatchJob.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import { ANSWER_MARGIN_MS } from './findGiveUpReason.js';
 import { JobTable } from './JobTable.js';
@@ -39,115 +39,115 @@
 import { Suspects } from './Suspects.js';
 import type { TaskOrder } from './TaskOrder.js';
 
-/** Time since an agent was last heard, in ping intervals, from which on it gets nothing new. */
-const STALE_PINGS = 2;
+/** Time since the last message of an executor, in ping intervals, after which it is sent no new tasks. */
+const STALE_PING_INTERVALS = 2;
 /**
- * How long a start may be on its way, and the agent's clock before it, in ping intervals, before the agent refuses it.
- * Less than the age of an echo from which on the agent stops what the entry ordered (3), which bounds it anyway.
+ * Validity of a start on the executor's clock, in ping intervals. It is shorter than the age of the last
+ * acknowledged ping after which the executor stops the tasks of this dispatcher (3).
  */
-const START_EXPIRY_PINGS = 2.4;
-/** Pause after an agent had no room, unless it tells its room before, ms. */
-const FULL_PAUSE_MS = 4;
-/** Time that an attempt takes which is not run, ms, until some were seen: an agent's wait for room and two ways. */
-const FIRST_RETURN_MS = 50;
-/** Weight of the newest one in the mean. */
-const RETURN_WEIGHT = 0.1;
-/** Weight of one step of priority in the order, ms. */
+const START_EXPIRY_PING_INTERVALS = 2.4;
+/** Pause after an executor rejected a start, ms. */
+const REJECTION_PAUSE_MS = 4;
+/** Initial estimate of the time from sending a start to its return, ms. */
+const INITIAL_RETURN_MS = 50;
+/** Weight of the latest value in the moving average of that time. */
+const RETURN_SMOOTHING = 0.1;
+/** Rank difference of one priority step, ms. */
 const PRIORITY_STEP_MS = 100;
 
-/** Bytes of a start beside its job's text, and of each further one of the job that goes along in the same message. */
+/** Bytes of a start besides the job's spec, and of each further start of the job in the same message. */
 const START_BYTES = 250;
-const MERGED_START_BYTES = 110;
+const BATCHED_START_BYTES = 110;
 
-/** What the dispatcher has its process do. */
+/** Side effects of the dispatcher, implemented by its process. */
 export interface DispatchEffects {
-  readonly send: (agent: string, message: DispatcherMessage) => void;
+  readonly send: (executorId: string, message: DispatcherMessage) => void;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
-  /** A job got its answer. */
-  readonly noteOutcome: (job: DispatchJob, outcome: JobOutcome, now: number) => void;
+  /** Records the answer to a job. */
+  readonly recordOutcome: (job: DispatchJob, outcome: JobOutcome, now: number) => void;
 }
 
-/** Parameters of a dispatcher. */
+/** Options of a dispatcher. */
 export interface DispatchOptions {
   readonly pingMs: number;
   readonly placement: Placement;
   readonly window: SendWindow;
-  /** When jobs are given up; by their callers' patience where none is named. */
+  /** Decides when jobs are given up; `CallerTimeoutAdmission` by default. */
   readonly admission?: Admission;
-  /** In which order tasks are offered; by deadline where none is named. */
+  /** Order in which tasks are placed; `DeadlineOrder` by default. */
   readonly order?: TaskOrder;
-  /** Bounds of what is held at once. */
+  /** Limits on the size of a job and on all open jobs. */
   readonly bounds: JobBounds;
-  /** Upstreams that may crash under one task until its job is failed; 0 or undefined for any number. */
+  /** Crashes of upstreams under one task after which its job fails; 0 or undefined for no limit. */
   readonly crashLimit?: number;
   readonly nextRandom: () => number;
 }
 
-/** Dispatches the jobs of one entry. */
+/** Dispatches the jobs of one entry VM. */
 export class Dispatcher {
-  private readonly agents: ExecutorTable;
+  private readonly executors: ExecutorTable;
   private readonly jobs = new JobTable();
   private readonly admission: Admission;
   private readonly backlog: Backlog;
-  /** Tasks under which upstreams have crashed of late. */
+  /** Tasks under which upstreams have crashed recently. */
   readonly suspects: Suspects;
-  /** Mean time from sending a task to hearing that it was not run, ms. */
-  private returnMs = FIRST_RETURN_MS;
-  /** Attempts of all jobs: a job may be submitted again while results of its earlier attempts are on their way. */
+  /** Moving average of the time from sending a start to its return as not run, ms. */
+  private returnMs = INITIAL_RETURN_MS;
+  /** Numbers the attempts of all jobs, so that late results of an earlier submission are ignored. */
   private attempts = 0;
 
   constructor(
     private readonly options: DispatchOptions,
     private readonly effects: DispatchEffects,
   ) {
-    this.agents = new ExecutorTable(options.pingMs * STALE_PINGS);
+    this.executors = new ExecutorTable(options.pingMs * STALE_PING_INTERVALS);
     const { crashLimit = 0, placement } = options;
-    this.suspects = new Suspects(crashLimit, placement, this.agents, effects.log);
+    this.suspects = new Suspects(crashLimit, placement, this.executors, effects.log);
     this.admission = options.admission ?? new CallerTimeoutAdmission();
     this.backlog = new Backlog(options.order);
   }
 
   /** Typical work per ms of the upstreams, in ms of estimates. */
   get typicalSpeed(): number {
-    return this.agents.typicalSpeed;
+    return this.executors.typicalSpeed;
   }
 
-  /** Jobs whose caller waits. */
+  /** Number of jobs whose caller waits. */
   get openJobs(): number {
     return this.jobs.countOpen();
   }
 
-  /** Tasks that wait for an agent. */
+  /** Number of tasks that wait for an executor. */
   get waitingTasks(): number {
     return this.backlog.size;
   }
 
-  /** Processor room that those tasks ask for, thousandths of a core. */
+  /** CPU required by the waiting tasks, thousandths of a core. */
   get waitingCpuMilli(): number {
     return this.backlog.sumCpuMilli();
   }
 
-  /** Tasks that wait for an agent, by a property of their queue. */
+  /** Counts the waiting tasks by a property of their queue. */
   countWaitingBy(describe: (route: QueueRoute) => string): Map<string, number> {
     return this.backlog.countBy(describe);
   }
 
-  /** Cores' worth of estimated work that the room was last expected to do; 0 while nothing is known. */
+  /** Latest forecast of the service rate, in cores of estimated work; 0 while there is no forecast. */
   get forecastCores(): number {
-    return this.admission.drainCores;
+    return this.admission.forecastCores;
   }
 
-  /** Whether an agent of any service is linked and takes work. */
+  /** Whether an executor of any service is linked and accepts tasks. */
   hasExecutors(now: number): boolean {
-    return this.agents.hasReady(now);
+    return this.executors.hasReady(now);
   }
 
-  /** The operators have emptied these failure domains, and no others: nothing is placed there. */
+  /** Sets the failure domains that operators have emptied; no task is placed there. */
   setEmptied(domains: readonly string[]): void {
-    this.agents.setEmptied(domains);
+    this.executors.setEmptied(domains);
   }
 
-  /** Takes a job; its answer comes through the caller. */
+  /** Accepts a job, which is answered through `caller`. */
   submit(submission: JobSubmission, caller: Caller, now: number): void {
     const findings = this.options.bounds.findExcess(submission);
     if (findings.length > 0) {
@@ -162,7 +162,7 @@
     this.endJob(known, SUPERSEDED, now);
   }
 
-  /** The caller is gone: what waits is dropped and what runs is stopped. */
+  /** Drops the waiting tasks and stops the running tasks of a job whose caller has disconnected. */
   abandon(jobId: string, caller: Caller, now: number): void {
     const { successors } = this.jobs;
     if (successors.get(jobId)?.caller === caller) successors.delete(jobId);
@@ -172,7 +172,7 @@
     this.endJob(job, { kind: 'interrupted', reason: 'caller-gone' }, now);
   }
 
-  /** Cancels a job on request. */
+  /** Cancels a job. Returns false if there is no such open job. */
   cancel(jobId: string, now: number): boolean {
     const job = this.jobs.findOpen(jobId);
     if (!job) return false;
@@ -180,29 +180,30 @@
     return true;
   }
 
-  /** State of a job whose caller waits. */
+  /** Finds the state of an open job. */
   findState(jobId: string): JobState | undefined {
     const job = this.jobs.findOpen(jobId);
     if (!job) return undefined;
     return job.offered ? 'running' : 'pending';
   }
 
-  /** Jobs of a queue that were never offered to an agent. */
+  /** Counts the jobs of a queue of which no task was sent yet. */
   countPending(routeName: string): number {
     return this.jobs.countPending(routeName);
   }
 
   /**
-   * An agent has linked; what it does not hold any more, and has not told, is lost. Its link must take orders.
+   * Handles the first message on a link of an executor. Attempts that the executor neither holds nor reports
+   * are lost. The link must be able to send orders.
    *
-   * @returns the id by which the dispatcher knows this life of the agent
+   * @returns the id of this incarnation of the executor
    */
-  handleHello(hello: ExecutorHello, ownLife: string, now: number): string {
+  handleHello(hello: ExecutorHello, ownIncarnation: string, now: number): string {
     const id = buildExecutorId(hello);
-    const known = this.agents.find(id);
-    this.agents.unlinkOthers(hello);
+    const known = this.executors.find(id);
+    this.executors.unlinkOthers(hello);
     if (!known) {
-      this.agents.add(hello, now);
+      this.executors.add(hello, now);
       this.effects.log('agent-linked', { agent: id, again: false });
       return id;
     }
@@ -210,91 +211,91 @@
     this.effects.log('agent-linked', {
       agent: id,
       again: true,
-      heardMs: Math.round(now - known.heardAt),
+      heardMs: Math.round(now - known.lastReceivedAt),
       tasks,
       held: hello.holding.length,
     });
     known.reopen(now);
-    if (hello.entryLife === ownLife) this.compareHeld(id, hello, now);
+    if (hello.entryLife === ownIncarnation) this.reconcileHeld(id, hello, now);
     else for (const task of this.jobs.listTasksAt(id)) this.settle(task, 'lost', 'link-broke', now);
     return id;
   }
 
-  /** A link has closed; what runs there is waited for. */
-  handleClose(agentId: string, reason: string, now: number): void {
-    const agent = this.agents.find(agentId);
-    if (!agent) return;
-    agent.linked = false;
-    const tasks = this.jobs.listTasksAt(agentId).length;
-    const heardMs = Math.round(now - agent.heardAt);
-    this.effects.log('agent-unlinked', { agent: agentId, reason, tasks, heardMs });
+  /** Handles a closed link. The tasks at the executor are kept until it links again or expires. */
+  handleClose(executorId: string, reason: string, now: number): void {
+    const executor = this.executors.find(executorId);
+    if (!executor) return;
+    executor.linked = false;
+    const tasks = this.jobs.listTasksAt(executorId).length;
+    const heardMs = Math.round(now - executor.lastReceivedAt);
+    this.effects.log('agent-unlinked', { agent: executorId, reason, tasks, heardMs });
   }
 
-  /** Takes a ping. */
-  handlePing(agentId: string, ping: Ping, now: number): void {
-    const agent = this.agents.find(agentId);
-    if (!agent) return;
-    // The greeting of an earlier life that was held up had this one count as gone; its pings come on an open link.
-    agent.linked = true;
-    agent.recordPing(ping, now);
-    if (ping.echoMs !== undefined) this.options.window.noteDelay(agent.recordRoundTrip(ping.echoMs));
-    this.expireEarlierIncarnations(agent, now);
-    for (const progress of ping.progress ?? []) this.reviewProgress(agent, progress, now);
+  /** Handles a ping of an executor. */
+  handlePing(executorId: string, ping: Ping, now: number): void {
+    const executor = this.executors.find(executorId);
+    if (!executor) return;
+    // A delayed hello of an earlier incarnation may have marked this one as unlinked; a ping proves its link.
+    executor.linked = true;
+    executor.recordPing(ping, now);
+    if (ping.echoMs !== undefined) this.options.window.recordDelay(executor.recordRoundTrip(ping.echoMs));
+    this.expireEarlierIncarnations(executor, now);
+    for (const progress of ping.progress ?? []) this.reviewProgress(executor, progress, now);
   }
 
-  /** Takes room that changed between pings. */
-  handleCapacity(agentId: string, { room, at }: CapacityChange, now: number): void {
-    const agent = this.agents.find(agentId);
-    if (!agent) return;
-    agent.heardAt = now;
-    agent.recordClock(at, now);
-    agent.recordCapacity(room, now);
+  /** Handles a change of an executor's capacity between pings. */
+  handleCapacity(executorId: string, { room, at }: CapacityChange, now: number): void {
+    const executor = this.executors.find(executorId);
+    if (!executor) return;
+    executor.lastReceivedAt = now;
+    executor.recordClock(at, now);
+    executor.recordCapacity(room, now);
   }
 
-  /** Takes the end of an attempt. */
-  handleResult(agentId: string, { name, end, reason }: AttemptResult, now: number): void {
+  /** Handles the end of an attempt; results of attempts that are not the latest are ignored. */
+  handleResult(id: string, { name, end, reason }: AttemptResult, now: number): void {
     const task = this.jobs.findTask(name);
-    if (!task || task.attempt !== name.attempt || task.agent !== agentId || !isOut(task)) return;
-    const agent = this.agents.find(agentId);
-    if (agent) agent.heardAt = now;
-    if (end === 'not-run' && reason === 'expired') this.options.window.noteExpired(now);
-    if (agent && end === 'not-run') {
-      agent.pausedUntil = now + FULL_PAUSE_MS;
-      this.returnMs += RETURN_WEIGHT * (now - task.sentAt - this.returnMs);
+    if (!task || task.attempt !== name.attempt || task.executorId !== id || !isOutstanding(task)) return;
+    const executor = this.executors.find(id);
+    if (executor) executor.lastReceivedAt = now;
+    if (end === 'not-run' && reason === 'expired') this.options.window.recordExpired(now);
+    if (executor && end === 'not-run') {
+      executor.pausedUntil = now + REJECTION_PAUSE_MS;
+      this.returnMs += RETURN_SMOOTHING * (now - task.sentAt - this.returnMs);
     }
-    if (agent && end !== 'not-run') agent.release(task.need.resources);
+    if (executor && end !== 'not-run') executor.release(task.need.resources);
     this.settle(task, end, reason, now);
   }
 
-  /** Sends waiting tasks to agents with room. */
+  /** Sends waiting tasks to executors with free capacity. */
   place(now: number): void {
     this.backlog.prune();
     if (this.backlog.size === 0) return;
     const context = this.buildContext(now);
-    const agents = this.agents.list();
-    let onTheWay = this.agents.sumBytesInFlight(now);
-    let smallestMissed = Infinity;
-    let smallestSuspectMissed = Infinity;
+    const executors = this.executors.list();
+    let bytesInFlight = this.executors.sumBytesInFlight(now);
+    let smallestUnplaced = Infinity;
+    let smallestUnplacedSuspect = Infinity;
     for (const task of this.backlog.list(now, this.typicalSpeed)) {
       const { cpuMilli } = task.need.resources;
-      if (cpuMilli >= smallestMissed) continue;
-      if (!this.options.window.hasRoom(onTheWay, now)) break;
+      if (cpuMilli >= smallestUnplaced) continue;
+      if (!this.options.window.canSend(bytesInFlight, now)) break;
       const isSuspect = this.suspects.has(task);
-      if (isSuspect && cpuMilli >= smallestSuspectMissed) continue;
-      const agent = this.findPlacement(isSuspect).choose(task, agents, context);
-      if (agent) onTheWay += this.send(task, agent, now);
+      if (isSuspect && cpuMilli >= smallestUnplacedSuspect) continue;
+      const executor = this.findPlacement(isSuspect).choose(task, executors, context);
+      if (executor) bytesInFlight += this.send(task, executor, now);
       else if (task.need.requiredLabel !== '') continue;
-      else if (isSuspect) smallestSuspectMissed = cpuMilli;
-      else smallestMissed = cpuMilli;
+      else if (isSuspect) smallestUnplacedSuspect = cpuMilli;
+      else smallestUnplaced = cpuMilli;
     }
     this.backlog.prune();
   }
 
-  /** Does what time brings. */
+  /** Handles timeouts: unresponsive executors and jobs that cannot be completed in time. */
   tick(now: number): void {
-    this.agents.updateSpeed();
+    this.executors.updateSpeed();
     this.suspects.tick(now);
-    for (const agent of this.agents.list()) this.expireExecutor(agent, now);
+    for (const executor of this.executors.list()) this.expireExecutor(executor, now);
     const view = this.buildCapacityView(now);
     for (const job of this.jobs.list()) this.reviewJob(job, view);
     for (const [id, { deadlineAt, caller }] of [...this.jobs.successors]) {
@@ -305,24 +306,24 @@
   }
 
   /**
-   * Gives every open job its final answer: the process ends, or stood still for so long that the agents have stopped
-   * its tasks and callers may have gone to other entries.
+   * Answers every open job: the process stops, or was paused for so long that executors have stopped its
+   * tasks and callers may have submitted their jobs to other dispatchers.
    */
   endAll(reason: string, now: number): void {
     for (const job of this.jobs.list()) this.giveUp(job, reason, now);
   }
 
-  /** An agent tells of crashes under tasks of a dispatcher that does not answer any more. */
-  handleCrashes(agentId: string, tasks: readonly CrashedTask[], now: number): void {
-    for (const task of tasks) this.suspects.recordCrash(agentId, task, now);
+  /** Records crashes under tasks of a dispatcher that no longer responds, as reported by an executor. */
+  handleCrashes(executorId: string, tasks: readonly CrashedTask[], now: number): void {
+    for (const task of tasks) this.suspects.recordCrash(executorId, task, now);
     for (const { job } of tasks) this.reviewCrashes(job, now);
   }
 
-  /** Takes what another dispatcher tells of suspects. Returns what of it is news, to be told on. */
+  /** Merges suspects that another dispatcher reports. Returns those that were new, to be forwarded. */
   adoptSuspects(tasks: readonly SuspectTask[], now: number): SuspectTask[] {
-    const news = this.suspects.adopt(tasks, now);
-    for (const { job } of news) this.reviewCrashes(job, now);
-    return news;
+    const updates = this.suspects.adopt(tasks, now);
+    for (const { job } of updates) this.reviewCrashes(job, now);
+    return updates;
   }
 
   private admit({ submission, caller, deadlineAt }: Submission, now: number): void {
@@ -336,196 +337,197 @@
     const job = createDispatchJob({ ...submission, patienceMs }, caller, timing);
     this.jobs.add(job);
     this.backlog.admit(job, now);
-    this.admission.noteArrived(job, now);
-    if (job.left === 0) return this.endJob(job, { kind: 'completed' }, now);
+    this.admission.recordArrived(job, now);
+    if (job.remaining === 0) return this.endJob(job, { kind: 'completed' }, now);
     this.reviewCrashes(job.id, now);
     this.reviewJob(job, this.buildCapacityView(now));
   }
 
-  /** Gives a job up if it cannot be served any more. */
+  /** Gives up a job that can no longer be completed in time. */
   private reviewJob(job: DispatchJob, view: CapacityView): void {
     const reason = job.answered ? undefined : this.admission.findReason(job, view);
     if (reason !== undefined) this.giveUp(job, reason, view.now);
   }
 
   private buildCapacityView(now: number): CapacityView {
-    const { typicalSpeed, staleMs } = this.agents;
+    const { typicalSpeed, staleMs } = this.executors;
     const listWaiting = (): DispatchTask[] => {
       this.backlog.prune();
       return this.backlog.list(now, typicalSpeed);
     };
-    return { now, typicalSpeed, staleMs, listExecutors: () => this.agents.list(), listWaiting };
+    return { now, typicalSpeed, staleMs, listExecutors: () => this.executors.list(), listWaiting };
   }
 
-  /** Sends a start, and returns how many bytes it takes. */
-  private send(task: DispatchTask, agent: ExecutorView, now: number): number {
+  /** Sends a start and returns its size in bytes. */
+  private send(task: DispatchTask, executor: ExecutorView, now: number): number {
     const { job, need } = task;
-    const isMerged = job.lastAgent === agent.id && job.lastSentAt === now;
-    const bytes = isMerged ? MERGED_START_BYTES : START_BYTES + job.submission.spec.length;
-    stepTask(task, 'send');
+    const isBatched = job.lastExecutorId === executor.id && job.lastSentAt === now;
+    const bytes = isBatched ? BATCHED_START_BYTES : START_BYTES + job.submission.spec.length;
+    transitionTask(task, 'send');
     this.attempts += 1;
     task.attempt = this.attempts;
-    task.agent = agent.id;
+    task.executorId = executor.id;
     task.sentAt = now;
     this.suspects.recordSent(task);
-    this.backlog.noteSent(task, now);
-    this.admission.noteSent(task);
+    this.backlog.recordSent(task, now);
+    this.admission.recordSent(task);
     job.offered = true;
-    job.lastAgent = agent.id;
+    job.lastExecutorId = executor.id;
     job.lastSentAt = now;
-    agent.reserve(need.resources, bytes);
+    executor.reserve(need.resources, bytes);
     const { id, spec, route } = job.submission;
     const name = buildAttemptName(task);
-    const expiresAt = agent.estimateClock(now) + this.options.pingMs * START_EXPIRY_PINGS;
+    const expiresAt = executor.estimateClock(now) + this.options.pingMs * START_EXPIRY_PING_INTERVALS;
     const { resources, estimateMs } = need;
     const rank = Math.round(job.rank - now);
     const order = { name, service: route.service, spec, resources, estimateMs, rank, expiresAt };
-    this.effects.send(agent.id, { type: 'start', ...order, ...(task.isIsolated && { isSuspect: true }) });
+    this.effects.send(executor.id, { type: 'start', ...order, ...(task.isIsolated && { isSuspect: true }) });
     this.effects.log('place', {
       job: id,
       task: `${task.step}/${task.index}`,
       attempt: task.attempt,
-      agent: agent.id,
-      freeCpu: agent.free.cpuMilli,
-      speed: agent.room?.speed,
-      roomAgeMs: Math.round(now - agent.heardAt),
+      agent: executor.id,
+      freeCpu: executor.free.cpuMilli,
+      speed: executor.report?.speed,
+      roomAgeMs: Math.round(now - executor.lastReceivedAt),
       waitedMs: Math.round(now - job.arrivedAt),
     });
     return bytes;
   }
 
-  /** Takes the certain end of an attempt that was out. */
+  /** Handles the confirmed end of an outstanding attempt. */
   private settle(task: DispatchTask, end: AttemptResult['end'], reason: string, now: number): void {
     const { job } = task;
-    assertInvariant(isOut(task), 'only an attempt that is out can end');
+    assertInvariant(isOutstanding(task), 'only an outstanding attempt can end');
     if (end !== 'not-run') job.begun = true;
     this.suspects.recordEnd(task, end, reason, now);
     if (end !== 'done') {
-      const { attempt, agent } = task;
+      const { attempt, executorId } = task;
       this.effects.log('attempt-over', {
         job: job.id,
         task: `${task.step}/${task.index}`,
         attempt,
-        agent,
+        agent: executorId,
         end,
         reason,
       });
     }
-    this.admission.noteEnded(task, end === 'done', now);
-    if (end === 'not-run') this.backlog.noteReturned(task, now);
+    this.admission.recordEnded(task, end === 'done', now);
+    if (end === 'not-run') this.backlog.recordReturned(task, now);
     if (job.answered) return this.drop(task, now);
     if (end === 'done') return this.finishTask(task, now);
-    if (end !== 'not-run') task.avoid.add(task.agent);
+    if (end !== 'not-run') task.avoid.add(task.executorId);
     if (end === 'failed') task.failures += 1;
     if (task.failures >= job.submission.route.maxAttempts) {
-      stepTask(task, 'drop');
+      transitionTask(task, 'drop');
       return this.endJob(job, { kind: 'failed', reason: 'attempts' }, now);
     }
-    stepTask(task, 'return');
+    transitionTask(task, 'return');
     this.backlog.add(task);
     if (reason === UPSTREAM_CRASHED) this.reviewCrashes(job.id, now);
   }
 
-  /** Fails a job under whose tasks upstreams crash: nothing of it is started again, and its caller does not come again. */
+  /** Fails a job if one of its tasks has reached the crash limit, so that it is not retried. */
   private reviewCrashes(jobId: string, now: number): void {
     const job = this.jobs.findOpen(jobId);
-    const condemned = job && this.suspects.findCondemned(jobId);
-    if (!condemned) return;
-    this.suspects.recordFailed(condemned);
+    const overLimit = job && this.suspects.findOverLimit(jobId);
+    if (!overLimit) return;
+    this.suspects.recordFailed(overLimit);
     this.endJob(job, { kind: 'failed', reason: 'crashes' }, now);
   }
 
   private finishTask(task: DispatchTask, now: number): void {
     const { job } = task;
-    stepTask(task, 'finish');
-    job.left -= 1;
-    if (job.left === 0) return this.endJob(job, { kind: 'completed' }, now);
+    transitionTask(task, 'finish');
+    job.remaining -= 1;
+    if (job.remaining === 0) return this.endJob(job, { kind: 'completed' }, now);
     this.releaseSteps(job);
   }
 
-  /** Lets go tasks whose earlier steps are all done. */
+  /** Releases blocked tasks whose preceding steps are all done. */
   private releaseSteps(job: DispatchJob): void {
     if (!job.tasks.some((task) => task.phase === 'blocked')) return;
     const open = new Set(job.tasks.filter((task) => task.phase !== 'done').map((task) => task.step));
     for (const task of job.tasks) {
       if (task.phase !== 'blocked' || task.need.after.some((step) => open.has(step))) continue;
-      stepTask(task, 'release');
+      transitionTask(task, 'release');
       this.backlog.add(task);
     }
   }
 
-  /** Answers a job and has everything of it stopped. */
+  /** Answers a job and stops its tasks. */
   private endJob(job: DispatchJob, outcome: JobOutcome, now: number): void {
     if (job.answered) return;
     job.answered = true;
-    assertInvariant(outcome.kind !== 'refused' || !job.begun, 'what is refused has not run');
+    assertInvariant(outcome.kind !== 'refused' || !job.begun, 'a job that has run cannot be refused');
     job.caller.answer(outcome);
-    this.effects.noteOutcome(job, outcome, now);
+    this.effects.recordOutcome(job, outcome, now);
     for (const task of job.tasks) {
-      if (task.phase === 'waiting' || task.phase === 'blocked') stepTask(task, 'drop');
+      if (task.phase === 'waiting' || task.phase === 'blocked') transitionTask(task, 'drop');
       if (task.phase === 'sent') this.withdraw(task);
     }
-    this.forgetIfOver(job, now);
+    this.deleteIfFinished(job, now);
   }
 
   private withdraw(task: DispatchTask): void {
-    stepTask(task, 'withdraw');
-    this.effects.send(task.agent, { type: 'stop', name: buildAttemptName(task) });
+    transitionTask(task, 'withdraw');
+    this.effects.send(task.executorId, { type: 'stop', name: buildAttemptName(task) });
   }
 
   private drop(task: DispatchTask, now: number): void {
-    stepTask(task, 'drop');
-    this.forgetIfOver(task.job, now);
+    transitionTask(task, 'drop');
+    this.deleteIfFinished(task.job, now);
   }
 
-  private forgetIfOver(job: DispatchJob, now: number): void {
-    if (job.out > 0) return;
+  private deleteIfFinished(job: DispatchJob, now: number): void {
+    if (job.outstanding > 0) return;
     const successor = this.jobs.delete(job.id);
     this.options.bounds.release(job.submission);
     if (successor) this.admit(successor, now);
   }
 
-  /** A job that has not run is refused; one that may have is interrupted. */
+  /** Refuses a job that has not run; interrupts one that may have run. */
   private giveUp(job: DispatchJob, reason: string, now: number): void {
     if (job.answered) return;
-    const mayHaveRun = job.begun || job.out > 0;
+    const mayHaveRun = job.begun || job.outstanding > 0;
     if (mayHaveRun) return this.endJob(job, { kind: 'interrupted', reason }, now);
     const view = this.buildCapacityView(now);
-    const figures = this.admission.describeForecast(job, view);
-    if (figures) this.effects.log('refuse', { job: job.id, reason, ...figures });
+    const forecast = this.admission.describeForecast(job, view);
+    if (forecast) this.effects.log('refuse', { job: job.id, reason, ...forecast });
     const retryAfterMs = this.admission.findRetryMs(job, view);
     this.endJob(job, { kind: 'refused', reason, retryAfterMs }, now);
-    this.admission.noteRefused(job);
+    this.admission.recordRefused(job);
   }
 
-  /** Nothing of ours can run at an agent that has not been heard for so long. */
-  private expireExecutor(agent: ExecutorView, now: number): void {
-    if (now <= agent.heardAt + agent.orphanMs) return;
-    for (const task of this.jobs.listTasksAt(agent.id)) this.settle(task, 'lost', 'agent-silent', now);
-    this.agents.forgetIfGone(agent, now);
+  /** Ends the attempts at an executor after its orphan timeout, when it has stopped them. */
+  private expireExecutor(executor: ExecutorView, now: number): void {
+    if (now <= executor.lastReceivedAt + executor.orphanMs) return;
+    for (const task of this.jobs.listTasksAt(executor.id)) this.settle(task, 'lost', 'agent-silent', now);
+    this.executors.deleteIfGone(executor, now);
   }
 
-  /** A life of an agent takes work only after it has stopped, and fenced, what earlier lives had started. */
-  private expireEarlierIncarnations(agent: ExecutorView, now: number): void {
-    if (agent.room?.state !== 'ready') return;
-    for (const earlier of this.agents.listOtherIncarnations(agent)) {
+  /** Removes earlier incarnations: an executor is ready only after it has stopped and fenced their tasks. */
+  private expireEarlierIncarnations(executor: ExecutorView, now: number): void {
+    if (executor.report?.state !== 'ready') return;
+    for (const earlier of this.executors.listOtherIncarnations(executor)) {
       for (const task of this.jobs.listTasksAt(earlier.id)) this.settle(task, 'lost', 'agent-replaced', now);
-      this.agents.delete(earlier.id);
+      this.executors.delete(earlier.id);
     }
   }
 
-  /** Moves a task that stands still or crawls, if it can be in time elsewhere. */
-  private reviewProgress(agent: ExecutorView, progress: AttemptProgress, now: number): void {
+  /** Moves a task that is stalled or slow if another executor can run it. */
+  private reviewProgress(executor: ExecutorView, progress: AttemptProgress, now: number): void {
     const { name, percent, stalledMs } = progress;
     const task = this.jobs.findTask(name);
-    if (!task || task.phase !== 'sent' || task.attempt !== name.attempt || task.agent !== agent.id) return;
-    const speed = agent.room?.speed ?? 1;
+    if (!task || task.phase !== 'sent' || task.attempt !== name.attempt || task.executorId !== executor.id)
+      return;
+    const speed = executor.report?.speed ?? 1;
     if (!needsMove(task, progress, speed, this.typicalSpeed, now)) return;
-    if (!this.hasOtherPlace(task, agent, now)) return;
+    if (!this.hasAlternative(task, executor, now)) return;
     this.effects.log('move', {
       job: name.job,
       task: `${task.step}/${task.index}`,
-      agent: agent.id,
+      agent: executor.id,
       percent,
       stalledMs,
       speed,
@@ -533,8 +535,8 @@
     this.withdraw(task);
   }
 
-  private hasOtherPlace(task: DispatchTask, from: ExecutorView, now: number): boolean {
-    const others = this.agents.list().filter((agent) => agent !== from);
+  private hasAlternative(task: DispatchTask, from: ExecutorView, now: number): boolean {
+    const others = this.executors.list().filter((executor) => executor !== from);
     const placement = this.findPlacement(this.suspects.has(task));
     return placement.choose(task, others, this.buildContext(now)) !== undefined;
   }
@@ -544,12 +546,12 @@
   }
 
   private buildContext(now: number): PlacementContext {
-    const { typicalSpeed, staleMs } = this.agents;
+    const { typicalSpeed, staleMs } = this.executors;
     return { now, typicalSpeed, staleMs, returnMs: this.returnMs, nextRandom: this.options.nextRandom };
   }
 
-  /** Brings what we have at an agent and what it holds for us together: orders and results may have been lost. */
-  private compareHeld(id: string, hello: ExecutorHello, now: number): void {
+  /** Reconciles the attempts at an executor with those it holds: orders or results may have been lost. */
+  private reconcileHeld(id: string, hello: ExecutorHello, now: number): void {
     for (const result of hello.results) this.handleResult(id, result, now);
     const holding = new Set(hello.holding.map((name) => buildAttemptKey(name)));
     for (const task of this.jobs.listTasksAt(id)) {
@@ -557,7 +559,7 @@
     }
     for (const name of hello.holding) {
       const task = this.jobs.findTask(name);
-      const isWanted = task?.phase === 'sent' && task.attempt === name.attempt && task.agent === id;
+      const isWanted = task?.phase === 'sent' && task.attempt === name.attempt && task.executorId === id;
       if (!isWanted) this.effects.send(id, { type: 'stop', name });
     }
   }
--- a/src/process/dispatcher/DispatcherDaemon.ts
+++ b/src/process/dispatcher/DispatcherDaemon.ts
@@ -1,4 +1,4 @@
-/** The dispatcher as a process: callers, links to agents and other entries, configuration, life cycle. */
+/** The dispatcher process: callers, links to executors and dispatchers, configuration, life cycle. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { ClockTimeline } from '../../_lib/Timeline.js';
@@ -35,7 +35,7 @@
 import { JobBounds } from '../../request/dispatch/JobBounds.js';
 import { buildExecutorId } from './ExecutorView.js';
 import { Dispatcher } from './Dispatcher.js';
-import { findChainMs, findWork } from './dispatchJob.js';
+import { computeCriticalPathMs, computeJobWork } from './dispatchJob.js';
 import type { DispatchJob } from './dispatchJob.js';
 import { buildDispatcherMetrics, describePriority } from './dispatcherMetrics.js';
 import { createAdmission } from './createAdmission.js';
@@ -44,38 +44,38 @@
 import { createTaskOrder } from './createTaskOrder.js';
 import { DispatcherPeers } from './DispatcherPeers.js';
 
-/** Between two looks at deadlines and silent agents, ms. */
+/** Interval between checks of deadlines and unresponsive executors, ms. */
 const TICK_MS = 40;
 /**
- * Between two pings of another entry, ms: a silent connection is noticed within two of them. Nothing waits for these links,
- * as configurations and members also come from agents; each ping costs both sides a message.
+ * Interval between pings of another dispatcher, ms. An unresponsive link is detected within two intervals;
+ * this is not urgent, since executors also pass on configurations and members.
  */
 const PEER_PING_MS = 1_000;
-/** Between two messages about members to every peer, ms, and how many others are told in each. */
-const MEMBERS_MS = 4_000;
-const MEMBERS_TOLD = 12;
-/** How long a leaving entry stays at least, until the balancer has noticed: two looks a second apart and a half, ms. */
-const NOTICE_MS = 2_500;
-/** Chains of a job's estimates that must fit before the end of a leaving entry: estimates are rough, and tasks wait. */
-const LEAVING_CHAIN_FACTOR = 2;
-/** Retry hint of an entry that ends, ms: the balancer has noticed by then. */
+/** Interval between member lists to every executor, ms, and the number of other members in each. */
+const MEMBERS_INTERVAL_MS = 4_000;
+const MEMBERS_PER_MESSAGE = 12;
+/** Minimum time that a stopping dispatcher accepts jobs, ms; the load balancer checks once a second. */
+const BALANCER_NOTICE_MS = 2_500;
+/** Multiple of a job's critical path that must fit before a stopping dispatcher exits. */
+const LEAVING_PATH_FACTOR = 2;
+/** Retry delay that a stopping dispatcher sends, ms; the load balancer has removed it by then. */
 const LEAVING_RETRY_MS = 1_000;
-/** Time kept from the grace period to answer what is left and end, ms. */
+/** Part of the grace period reserved to answer the remaining jobs and exit, ms. */
 const END_MARGIN_MS = 500;
 
-/** Lines on placements each second; refusals, failures and reruns are always written. */
+/** Limit on log lines about placements, per second; other decisions are not limited. */
 const PLACE_LINES_PER_S = 400;
 
-/** Outside parts of a dispatcher. */
+/** Adapters of a dispatcher process. */
 export interface DispatcherPorts {
   readonly gateway: CallerGateway;
   readonly source: ConfigurationSource;
 }
 
-/** An entry process. */
+/** A dispatcher process. */
 export class DispatcherDaemon implements JobService {
   private readonly clock = createDaemonClock((event, fields) => this.logDecision(event, fields));
-  private readonly life: string;
+  private readonly incarnation: string;
   private readonly place: DispatcherPlace;
   private readonly logger: ProcessLogger;
   private readonly metrics: ServedMetrics;
@@ -86,26 +86,26 @@
   private readonly exchange: OperatorExchange;
   private readonly pauseGuard: PauseGuard;
   private readonly channels = new Map<string, LineChannel>();
-  private readonly agentIds = new Map<LineChannel, string>();
-  private readonly entryChannels = new Set<LineChannel>();
-  private readonly placeLines = new LogRateLimiter(PLACE_LINES_PER_S);
+  private readonly executorIds = new Map<LineChannel, string>();
+  private readonly dispatcherChannels = new Set<LineChannel>();
+  private readonly placeLogLimiter = new LogRateLimiter(PLACE_LINES_PER_S);
   private leavingAt: number | undefined;
-  private placing = false;
-  private demandToldAt = -Infinity;
-  /** Links on which an echo has told demand: from then on it is left out while nothing waits. */
-  private readonly demandChannels = new WeakSet<LineChannel>();
+  private placementScheduled = false;
+  private demandSentAt = -Infinity;
+  /** Links on which a pong has reported the demand; later pongs omit it while no task waits. */
+  private readonly demandReportedTo = new WeakSet<LineChannel>();
   private readonly pingMs: number;
 
   constructor(
     private settings: DispatchSettings,
     private readonly ports: DispatcherPorts,
   ) {
-    const peer = createIncarnation(settings.id, Date.now());
-    this.life = peer;
+    const incarnation = createIncarnation(settings.id, Date.now());
+    this.incarnation = incarnation;
     const { address, advertisedAddress, linkPort, failureDomain } = settings;
     const host = advertisedAddress === '' ? address : advertisedAddress;
     this.place = { address: `${host}:${linkPort}`, failureDomain };
-    this.logger = createLogger(peer, settings.logLevel, createLogSink());
+    this.logger = createLogger(incarnation, settings.logLevel, createLogSink());
     const nextRandom = createRandom(Date.now() % 1_000_000);
     this.exchange = this.createExchange(nextRandom);
     const { pingMs, orphanAfterMs } = deriveDispatchTimes(settings);
@@ -123,9 +123,9 @@
         nextRandom,
       },
       {
-        send: (agent, message) => this.channels.get(agent)?.send(message),
+        send: (executorId, message) => this.channels.get(executorId)?.send(message),
         log: (event, fields) => this.logDecision(event, fields),
-        noteOutcome: (job, outcome, now) => this.logOutcome(job, outcome, now),
+        recordOutcome: (job, outcome, now) => this.logOutcome(job, outcome, now),
       },
     );
     const gauges = {
@@ -135,7 +135,7 @@
       readWaitingByPriority: () =>
         this.dispatcher.countWaitingBy(({ priority }) => describePriority(priority)),
       readForecastCores: () => this.dispatcher.forecastCores,
-      readAgents: () => this.channels.size,
+      readExecutors: () => this.channels.size,
       readConfigurationVersion: () => this.exchange.versions.version,
       readEmptiedDomains: () => this.exchange.emptied?.domains.length ?? 0,
       readEmptiedRevision: () => this.exchange.versions.emptiedRevision,
@@ -155,9 +155,9 @@
       this.exchange,
       this.clock,
       {
-        recordMembers: (entries) => this.noteMembers(entries, this.clock.now()),
+        recordMembers: (entries) => this.recordMembers(entries, this.clock.now()),
         recordSuspects: (tasks) => this.adoptSuspects(tasks),
-        sendFirstMessages: (channel) => this.greetWithSuspects(channel),
+        sendFirstMessages: (channel) => this.sendKnownSuspects(channel),
         log: (event, fields) => this.logger.info(event, fields),
       },
       nextRandom,
@@ -177,7 +177,7 @@
     return this.leavingAt !== undefined;
   }
 
-  /** Starts to listen, to dial other entries and to follow the configuration. */
+  /** Starts to listen, to dial other dispatchers and to follow the configuration. */
   async start(): Promise<void> {
     this.logger.info('started', { ...this.place });
     await this.listener.start(this.settings.address, this.settings.linkPort);
@@ -198,27 +198,27 @@
     });
     this.peers.recordSeeds(this.settings.seeds);
     this.metrics.start();
-    startTimer(this.logger, 'tick', TICK_MS, () => this.turn((now) => this.dispatcher.tick(now)));
+    startTimer(this.logger, 'tick', TICK_MS, () => this.applyInput((now) => this.dispatcher.tick(now)));
     startTimer(this.logger, 'peers', PEER_PING_MS, () => this.peers.ping());
-    startTimer(this.logger, 'members', MEMBERS_MS, () => this.tellSomeMembers());
+    startTimer(this.logger, 'members', MEMBERS_INTERVAL_MS, () => this.sendSomeMembers());
   }
 
-  /** Takes changed settings: other seeds are dialed; all else needs a restart. */
+  /** Applies changed settings and dials new seeds. Settings that are read at creation need a restart. */
   reload(settings: DispatchSettings): void {
     this.logger.info('reloaded', { seeds: settings.seeds });
     this.settings = settings;
     this.peers.recordSeeds(settings.seeds);
   }
 
-  /** Stops as planned: takes jobs until the balancer has noticed, answers all, and returns. */
+  /** Stops gracefully: accepts and serves jobs within the grace period, then answers all open jobs. */
   async stop(): Promise<void> {
     if (this.leavingAt !== undefined) return;
-    const begun = this.clock.now();
-    this.leavingAt = begun;
-    const endAt = this.findEndAt(begun);
+    const leavingAt = this.clock.now();
+    this.leavingAt = leavingAt;
+    const endAt = this.findEndAt(leavingAt);
     this.logger.info('leaving', { openJobs: this.dispatcher.openJobs });
     while (this.clock.now() < endAt) {
-      if (this.dispatcher.openJobs === 0 && this.clock.now() > begun + NOTICE_MS) break;
+      if (this.dispatcher.openJobs === 0 && this.clock.now() > leavingAt + BALANCER_NOTICE_MS) break;
       await sleep(TICK_MS / 2);
     }
     const openJobs = this.dispatcher.openJobs;
@@ -234,11 +234,11 @@
 
   submit(submission: JobSubmission, caller: Caller): void {
     const now = this.clock.now();
-    if (!this.canStillServe(submission, now)) {
+    if (!this.canAccept(submission, now)) {
       this.logger.info('refuse', { job: submission.id, reason: 'leaving' });
       return caller.answer({ kind: 'refused', reason: 'leaving', retryAfterMs: LEAVING_RETRY_MS });
     }
-    this.turn(() => this.dispatcher.submit(submission, caller, now));
+    this.applyInput(() => this.dispatcher.submit(submission, caller, now));
   }
 
   private createExchange(nextRandom: () => number): OperatorExchange {
@@ -255,14 +255,14 @@
     );
   }
 
-  /** A leaving process serves what the balancer still sends as long as the job will probably end before the process. */
-  private canStillServe({ steps }: JobSubmission, now: number): boolean {
+  /** Whether a job can be accepted: a stopping process takes only jobs likely to end before it exits. */
+  private canAccept({ steps }: JobSubmission, now: number): boolean {
     if (this.leavingAt === undefined) return true;
-    const chainMs = findChainMs(steps) / this.dispatcher.typicalSpeed;
-    return now + chainMs * LEAVING_CHAIN_FACTOR <= this.findEndAt(this.leavingAt);
+    const criticalPathMs = computeCriticalPathMs(steps) / this.dispatcher.typicalSpeed;
+    return now + criticalPathMs * LEAVING_PATH_FACTOR <= this.findEndAt(this.leavingAt);
   }
 
-  /** When a process that has begun to leave answers what is open and ends. */
+  /** Finds when a stopping process answers its open jobs and exits. */
   private findEndAt(leavingAt: number): number {
     return leavingAt + this.settings.graceSeconds * 1_000 - END_MARGIN_MS;
   }
@@ -279,7 +279,7 @@
   }
 
   abandon(jobId: string, caller: Caller): void {
-    this.turn((now) => this.dispatcher.abandon(jobId, caller, now));
+    this.applyInput((now) => this.dispatcher.abandon(jobId, caller, now));
   }
 
   findState(jobId: string): JobState | undefined {
@@ -296,48 +296,48 @@
     return this.dispatcher.countPending(routeName);
   }
 
-  /** Takes one input, and places once all inputs at hand are taken. */
-  private turn(input: (now: number) => void): void {
+  /** Applies an input, and places tasks after all pending inputs are applied. */
+  private applyInput(input: (now: number) => void): void {
     const now = this.clock.now();
     this.pauseGuard.update(now);
-    if (this.pauseGuard.isCatchingUp) setImmediate(() => this.turn(input));
+    if (this.pauseGuard.isCatchingUp) setImmediate(() => this.applyInput(input));
     else input(now);
-    this.schedulePlacing();
+    this.schedulePlacement();
   }
 
-  private schedulePlacing(): void {
-    if (this.placing) return;
-    this.placing = true;
+  private schedulePlacement(): void {
+    if (this.placementScheduled) return;
+    this.placementScheduled = true;
     setImmediate(() => {
-      this.placing = false;
+      this.placementScheduled = false;
       const now = this.clock.now();
       this.pauseGuard.update(now);
-      if (this.pauseGuard.isCatchingUp) return this.schedulePlacing();
+      if (this.pauseGuard.isCatchingUp) return this.schedulePlacement();
       this.dispatcher.place(now);
-      this.tellDemand(now);
-      this.tellSuspects(this.dispatcher.suspects.takeNews());
+      this.sendDemand(now);
+      this.sendSuspects(this.dispatcher.suspects.takeUpdates());
     });
   }
 
-  /** Has agents tell at once of room that comes free, while tasks wait. Echoes repeat it, so it is told seldom. */
-  private tellDemand(now: number): void {
+  /** Requests immediate capacity reports while tasks wait, once a ping interval; pongs repeat the demand. */
+  private sendDemand(now: number): void {
     const isWaiting = this.dispatcher.waitingTasks > 0;
-    if (!isWaiting || now - this.demandToldAt < this.pingMs) return;
-    this.demandToldAt = now;
+    if (!isWaiting || now - this.demandSentAt < this.pingMs) return;
+    this.demandSentAt = now;
     const { waitingCpuMilli } = this.dispatcher;
     for (const channel of this.channels.values()) channel.send({ type: 'demand', waitingCpuMilli });
   }
 
-  /** Callers may submit a job again at any entry, so all hear of suspects; they tell on what is news to them. */
-  private tellSuspects(tasks: readonly SuspectTask[]): void {
+  /** Sends suspects to all dispatchers, since callers may resubmit a job at any of them. */
+  private sendSuspects(tasks: readonly SuspectTask[]): void {
     if (tasks.length === 0) return;
     const notice = { type: 'suspects', tasks } as const;
-    for (const channel of this.entryChannels) channel.send(notice);
+    for (const channel of this.dispatcherChannels) channel.send(notice);
     this.peers.sendNotice(notice);
   }
 
   private adoptSuspects(tasks: readonly SuspectTask[]): void {
-    this.turn((now) => this.tellSuspects(this.dispatcher.adoptSuspects(tasks, now)));
+    this.applyInput((now) => this.sendSuspects(this.dispatcher.adoptSuspects(tasks, now)));
   }
 
   private receive(channel: LineChannel, message: PeerMessage): void {
@@ -347,37 +347,37 @@
       const typicalSpeed = roundSpeed(this.dispatcher.typicalSpeed);
       const { versions } = this.exchange;
       const isWaiting = this.dispatcher.waitingTasks > 0;
-      const needsDemand = isWaiting || !this.demandChannels.has(channel);
-      this.demandChannels.add(channel);
+      const needsDemand = isWaiting || !this.demandReportedTo.has(channel);
+      this.demandReportedTo.add(channel);
       const waitingCpuMilli = needsDemand ? this.dispatcher.waitingCpuMilli : undefined;
       channel.send({ type: 'pong', at: message.at, ...versions, typicalSpeed, isWaiting, waitingCpuMilli });
       this.exchange.compareVersions(message, channel, now);
     }
     this.handle(channel, message, now);
-    if (this.dispatcher.waitingTasks > 0) this.schedulePlacing();
+    if (this.dispatcher.waitingTasks > 0) this.schedulePlacement();
   }
 
   private handle(channel: LineChannel, message: PeerMessage, now: number): void {
-    if (message.type === 'agent-hello') return this.welcomeAgent(channel, message, now);
-    if (message.type === 'entry-hello') return this.welcomeEntry(channel, message.place, now);
+    if (message.type === 'agent-hello') return this.handleExecutorHello(channel, message, now);
+    if (message.type === 'entry-hello') return this.handleDispatcherHello(channel, message.place, now);
     if (this.exchange.receive(message, channel)) return;
-    if (message.type === 'members') return this.noteMembers(message.entries, now);
+    if (message.type === 'members') return this.recordMembers(message.entries, now);
     if (message.type === 'suspects') return this.adoptSuspects(message.tasks);
-    const agent = this.agentIds.get(channel);
-    if (agent === undefined) return;
-    if (message.type === 'ping') this.dispatcher.handlePing(agent, message, now);
-    if (message.type === 'room') this.dispatcher.handleCapacity(agent, message, now);
-    if (message.type === 'crashes') this.dispatcher.handleCrashes(agent, message.tasks, now);
-    if (message.type === 'result') this.takeResult(agent, message, now);
+    const executorId = this.executorIds.get(channel);
+    if (executorId === undefined) return;
+    if (message.type === 'ping') this.dispatcher.handlePing(executorId, message, now);
+    if (message.type === 'room') this.dispatcher.handleCapacity(executorId, message, now);
+    if (message.type === 'crashes') this.dispatcher.handleCrashes(executorId, message.tasks, now);
+    if (message.type === 'result') this.handleResult(executorId, message, now);
   }
 
-  private takeResult(agent: string, result: AttemptResult, now: number): void {
+  private handleResult(executorId: string, result: AttemptResult, now: number): void {
     const { end, reason } = result;
     if (end === 'not-run') this.metrics.increment('dispatcher_returned_starts', { reason });
-    this.dispatcher.handleResult(agent, result, now);
+    this.dispatcher.handleResult(executorId, result, now);
   }
 
-  private welcomeAgent(
+  private handleExecutorHello(
     channel: LineChannel,
     hello: Extract<PeerMessage, { type: 'agent-hello' }>,
     now: number,
@@ -385,39 +385,39 @@
     const id = buildExecutorId(hello);
     const before = this.channels.get(id);
     this.channels.set(id, channel);
-    this.agentIds.set(channel, id);
+    this.executorIds.set(channel, id);
     before?.close('replaced');
     if (hello.takesBatches === true) channel.allowBatches();
-    const { place, life } = this;
-    channel.send({ type: 'entry-welcome', entry: this.settings.id, life, place });
+    const { place, incarnation } = this;
+    channel.send({ type: 'entry-welcome', entry: this.settings.id, life: incarnation, place });
     channel.send({ type: 'members', entries: [this.place, ...this.members.list(now)] });
-    this.dispatcher.handleHello(hello, this.life, now);
+    this.dispatcher.handleHello(hello, this.incarnation, now);
   }
 
-  private welcomeEntry(channel: LineChannel, place: DispatcherPlace, now: number): void {
-    this.entryChannels.add(channel);
-    this.noteMembers([place], now);
+  private handleDispatcherHello(channel: LineChannel, place: DispatcherPlace, now: number): void {
+    this.dispatcherChannels.add(channel);
+    this.recordMembers([place], now);
     this.exchange.sendVersions(channel);
-    this.greetWithSuspects(channel);
+    this.sendKnownSuspects(channel);
   }
 
-  private greetWithSuspects(channel: LineChannel): void {
+  private sendKnownSuspects(channel: LineChannel): void {
     const tasks = this.dispatcher.suspects.list();
     if (tasks.length > 0) channel.send({ type: 'suspects', tasks });
   }
 
   private closeChannel(channel: LineChannel, reason: string): void {
-    this.entryChannels.delete(channel);
+    this.dispatcherChannels.delete(channel);
     this.exchange.handleClosed(channel);
-    const id = this.agentIds.get(channel);
-    this.agentIds.delete(channel);
+    const id = this.executorIds.get(channel);
+    this.executorIds.delete(channel);
     if (id === undefined) this.logger.info('link-closed', { reason });
     if (id === undefined || this.channels.get(id) !== channel) return;
     this.channels.delete(id);
     this.dispatcher.handleClose(id, reason, this.clock.now());
   }
 
-  /** Whether the deployment has a failure domain; what operators write of any other is logged and has no effect. */
+  /** Whether a failure domain exists in the deployment; records of any other are logged and ignored. */
   private isKnownDomain(domain: string): boolean {
     const { failureDomains } = this.settings;
     if (failureDomains.length === 0 || failureDomains.includes(domain)) return true;
@@ -428,36 +428,36 @@
   private applyConfiguration(configuration: Configuration, before: number, from: UpdateSource): void {
     this.ports.gateway.applyConfiguration(configuration);
     this.logger.info('configuration', { version: configuration.version, before, from });
-    this.tellPeers();
+    this.sendVersions();
   }
 
-  /** Nothing more is placed in these failure domains; what runs there runs on. */
+  /** Stops placement in these failure domains; running tasks continue. */
   private applyEmptied({ domains, revision }: EmptiedDomains, from: UpdateSource): void {
     this.logger.info('emptied-domains', { emptied: domains, revision, from });
-    this.turn(() => this.dispatcher.setEmptied(domains));
-    this.tellPeers();
+    this.applyInput(() => this.dispatcher.setEmptied(domains));
+    this.sendVersions();
   }
 
-  /** Other entries hear at once of what is new. */
-  private tellPeers(): void {
-    for (const channel of this.entryChannels) this.exchange.sendVersions(channel);
+  /** Sends the current versions to other dispatchers. */
+  private sendVersions(): void {
+    for (const channel of this.dispatcherChannels) this.exchange.sendVersions(channel);
   }
 
-  private noteMembers(places: readonly DispatcherPlace[], now: number): void {
+  private recordMembers(places: readonly DispatcherPlace[], now: number): void {
     const others = places.filter(({ address }) => address !== this.place.address);
     const fresh = this.members.record(others, now);
     if (fresh.length === 0) return;
     this.logger.info('members', { fresh: fresh.map(({ address }) => address) });
-    this.tellMembers(fresh);
+    this.sendMembers(fresh);
   }
 
-  /** Some members in turn: a message must not grow with the fleet. */
-  private tellSomeMembers(): void {
-    this.tellMembers([this.place, ...this.members.selectNext(MEMBERS_TOLD, this.clock.now())]);
+  /** Sends some members in rotation, so that the message size does not grow with the fleet. */
+  private sendSomeMembers(): void {
+    this.sendMembers([this.place, ...this.members.selectNext(MEMBERS_PER_MESSAGE, this.clock.now())]);
   }
 
-  /** Agents are told of entries; entries learn from agents, which tell only of those that answer them. */
-  private tellMembers(entries: readonly DispatcherPlace[]): void {
+  /** Sends members to executors. Executors pass on only the dispatchers that respond to them. */
+  private sendMembers(entries: readonly DispatcherPlace[]): void {
     for (const channel of this.channels.values()) channel.send({ type: 'members', entries });
   }
 
@@ -465,7 +465,7 @@
     this.metrics.increment('dispatcher_decisions', { decision: event });
     if (event !== 'place') return this.logger.info(event, fields);
     if (!this.settings.decisionLog) return;
-    const { write, skipped } = this.placeLines.take(this.clock.now());
+    const { write, skipped } = this.placeLogLimiter.take(this.clock.now());
     if (write) this.logger.info(event, skipped === 0 ? fields : { ...fields, skipped });
   }
 
@@ -475,7 +475,7 @@
     this.metrics.increment('dispatcher_answers', { outcome: outcome.kind, reason });
     const decision = outcome.kind === 'refused' ? 'refused' : 'admitted';
     const priority = describePriority(submission.route.priority);
-    this.metrics.increment('dispatcher_work', { priority, decision }, findWork(job) / 1_000_000);
+    this.metrics.increment('dispatcher_work', { priority, decision }, computeJobWork(job) / 1_000_000);
     this.metrics.observe('dispatcher_answer_ms', now - arrivedAt);
     this.logger.info('answer', {
       job: job.id,
--- a/src/process/dispatcher/DispatcherPeers.test.ts
+++ b/src/process/dispatcher/DispatcherPeers.test.ts
@@ -11,15 +11,15 @@
 const HOST = '127.0.0.1';
 const VERSION = 7;
 
-describe('EntryPeers', () => {
+describe('DispatcherPeers', () => {
   let listener: PeerListener;
   let peers: DispatcherPeers;
   let received: PeerMessage[];
   let logged: string[];
-  /** Whether the other entry echoes pings. */
-  let echoes: boolean;
+  /** Whether the other dispatcher replies to pings. */
+  let repliesToPings: boolean;
   let wake: () => void;
-  /** Time that the entry's clock is ahead of the steady one, ms. */
+  /** Offset of the dispatcher's clock from the steady clock, ms. */
   let skippedMs: number;
 
   async function waitFor(type: PeerMessage['type']): Promise<void> {
@@ -35,12 +35,12 @@
   beforeEach(async () => {
     received = [];
     logged = [];
-    echoes = true;
+    repliesToPings = true;
     skippedMs = 0;
     wake = () => undefined;
     const receive = (channel: LineChannel, message: PeerMessage): void => {
       received.push(message);
-      if (message.type === 'ping' && echoes) answer(channel, message);
+      if (message.type === 'ping' && repliesToPings) answer(channel, message);
       wake();
     };
     listener = new PeerListener({ receive, close: () => undefined });
@@ -73,8 +73,8 @@
     await listener.stop();
   });
 
-  it('dials anew a link on which no echo comes', async () => {
-    echoes = false;
+  it('redials a link without pongs', async () => {
+    repliesToPings = false;
     peers.ping();
     await waitFor('ping');
     received.length = 0;
@@ -84,7 +84,7 @@
     expect(logged).to.deep.equal(['peer-unlinked']);
   });
 
-  it('asks for the configuration of an entry that tells a newer version', async () => {
+  it('requests the configuration of a dispatcher that reports a newer version', async () => {
     peers.ping();
     await waitFor('configuration-request');
     expect(logged).to.deep.equal([]);
--- a/src/process/dispatcher/DispatcherPeers.ts
+++ b/src/process/dispatcher/DispatcherPeers.ts
@@ -1,6 +1,6 @@
 /**
- * The links that an entry dials to other entries, to make itself known there and to bring configurations on. Pings tell
- * whether a link still carries anything, and which configuration each side holds.
+ * Links that a dispatcher dials to other dispatchers to announce itself and to exchange configurations. Pings
+ * check that a link works and compare the configuration versions of both sides.
  */
 import type { Clock } from '../../_lib/Clock.js';
 import type { LineChannel } from '../../connection/peer/LineChannel.js';
@@ -15,28 +15,28 @@
 import type { LogFields } from '../logger.js';
 import type { OperatorExchange } from '../OperatorExchange.js';
 
-/** How long the first echo of another entry is waited for, ms: a ping interval of these links. */
-const FIRST_ECHO_MS = 1_000;
+/** Timeout of the first pong of another dispatcher, ms: a ping interval of these links. */
+const FIRST_PONG_TIMEOUT_MS = 1_000;
 
-/** Who dials. */
+/** Identity of the dispatcher that dials. */
 export interface DispatcherPeersOptions {
-  /** Process id of the entry. */
+  /** Process id of the dispatcher. */
   readonly id: string;
   readonly place: DispatcherPlace;
   /** Port of the links between daemons, the same on every VM. */
   readonly linkPort: number;
 }
 
-/** What the links tell their entry. */
+/** Events on the links. */
 export interface DispatcherPeersEvents {
   readonly recordMembers: (entries: readonly DispatcherPlace[]) => void;
   readonly recordSuspects: (tasks: readonly SuspectTask[]) => void;
-  /** A link to another entry is open. */
+  /** Sends the first messages on a new link to another dispatcher. */
   readonly sendFirstMessages: (channel: LineChannel) => void;
   readonly log: (event: string, fields: LogFields) => void;
 }
 
-/** Links of one entry to others. */
+/** Links of one dispatcher to others. */
 export class DispatcherPeers {
   private readonly dialer: PeerDialer;
   private readonly channels = new Map<string, LineChannel>();
@@ -49,14 +49,14 @@
     nextRandom: () => number,
   ) {
     const dialed = {
-      open: (address: string, channel: LineChannel) => this.greet(address, channel),
+      open: (address: string, channel: LineChannel) => this.handleOpened(address, channel),
       receive: (address: string, message: PeerMessage) => this.receive(address, message),
-      close: (address: string, reason: string) => this.noteClosed(address, reason),
+      close: (address: string, reason: string) => this.handleClosed(address, reason),
     };
-    this.dialer = new PeerDialer(dialed, clock, nextRandom, FIRST_ECHO_MS);
+    this.dialer = new PeerDialer(dialed, clock, nextRandom, FIRST_PONG_TIMEOUT_MS);
   }
 
-  /** Dials the entries that the settings name, `host:port`; only the host is used. Agents learn of this one from them. */
+  /** Dials the dispatchers that the settings list as `host:port`; only the host is used. */
   recordSeeds(seeds: readonly string[]): void {
     const { linkPort, place } = this.options;
     for (const seed of seeds) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Pings all, and dials those anew that have gone silent. */
+  /** Pings all dispatchers, and redials those that are unresponsive. */
   ping(): void {
     this.dialer.review();
     const at = Math.floor(this.clock.now());
@@ -76,22 +76,22 @@
     }
   }
 
-  /** Tells all of tasks that may crash upstreams. */
+  /** Sends suspect tasks to all dispatchers. */
   sendNotice(notice: SuspectNotice): void {
     for (const channel of this.channels.values()) channel.send(notice);
   }
 
-  /** This process stood still. */
+  /** Handles a pause of this process. */
   handlePause(): void {
     this.dialer.handlePause();
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   stop(): void {
     this.dialer.stop();
   }
 
-  private greet(address: string, channel: LineChannel): void {
+  private handleOpened(address: string, channel: LineChannel): void {
     const { id, place } = this.options;
     this.channels.set(address, channel);
     channel.send({ type: 'entry-hello', entry: id, place });
@@ -110,7 +110,7 @@
     this.exchange.compareVersions(message, channel, this.clock.now());
   }
 
-  private noteClosed(address: string, reason: string): void {
+  private handleClosed(address: string, reason: string): void {
     const channel = this.channels.get(address);
     if (channel) this.exchange.handleClosed(channel);
     this.channels.delete(address);
--- a/src/process/dispatcher/ExecutorTable.ts
+++ b/src/process/dispatcher/ExecutorTable.ts
@@ -1,20 +1,20 @@
-/** The agents that a dispatcher knows: which are linked, where nothing is placed, and how fast their upstreams work. */
+/** The executors of a dispatcher: their links, emptied failure domains and typical speed. */
 import type { ExecutorHello } from '../../connection/peer/peerMessages.js';
 import { ExecutorView, buildExecutorId } from './ExecutorView.js';
 
-/** Lowest speed that the median is taken for, so that no estimate becomes endless. */
+/** Lower bound of the typical speed, so that time estimates stay finite. */
 const MIN_TYPICAL_SPEED = 0.2;
-/** Agents that have been gone for so long are forgotten, ms. */
-const FORGET_AGENT_MS = 10_000;
+/** Time after which an unlinked executor is removed, ms. */
+const RETENTION_MS = 10_000;
 
-/** Agents of one dispatcher, by process and life. */
+/** Executors of one dispatcher, by process and incarnation. */
 export class ExecutorTable {
-  private readonly agents = new Map<string, ExecutorView>();
-  /** Failure domains in which nothing is started. */
+  private readonly executors = new Map<string, ExecutorView>();
+  /** Failure domains in which no task is started. */
   private emptied: readonly string[] = [];
   private median = 1;
 
-  /** @param staleMs - time since an agent was last heard from which on it gets nothing new, ms */
+  /** @param staleMs - age of the last message after which an executor is sent no new tasks, ms */
   constructor(readonly staleMs: number) {}
 
   /** Typical work per ms of the upstreams, in ms of estimates. */
@@ -22,87 +22,90 @@
     return this.median;
   }
 
-  /** All agents, linked or not. */
+  /** Lists all executors, linked or not. */
   list(): ExecutorView[] {
-    return [...this.agents.values()];
+    return [...this.executors.values()];
   }
 
-  /** Finds one life of an agent. */
+  /** Finds an incarnation of an executor. */
   find(id: string): ExecutorView | undefined {
-    return this.agents.get(id);
+    return this.executors.get(id);
   }
 
-  /** Whether an agent of any service is linked and takes work. */
+  /** Whether an executor of any service is linked and accepts tasks. */
   hasReady(now: number): boolean {
-    for (const agent of this.agents.values()) {
-      if (agent.isReady(now, this.staleMs)) return true;
+    for (const executor of this.executors.values()) {
+      if (executor.isReady(now, this.staleMs)) return true;
     }
     return false;
   }
 
-  /** The operators have emptied these failure domains, and no others. */
+  /** Replaces the failure domains that operators have emptied. */
   setEmptied(domains: readonly string[]): void {
     this.emptied = domains;
-    for (const agent of this.agents.values()) agent.isEmptied = domains.includes(agent.failureDomain);
+    for (const executor of this.executors.values())
+      executor.isEmptied = domains.includes(executor.failureDomain);
   }
 
-  /** Adds an agent that is met for the first time. */
+  /** Adds a new incarnation of an executor. */
   add(hello: ExecutorHello, now: number): ExecutorView {
-    const agent = new ExecutorView(hello, now);
-    agent.isEmptied = this.emptied.includes(agent.failureDomain);
-    this.agents.set(agent.id, agent);
-    return agent;
+    const executor = new ExecutorView(hello, now);
+    executor.isEmptied = this.emptied.includes(executor.failureDomain);
+    this.executors.set(executor.id, executor);
+    return executor;
   }
 
-  /** A life of an agent has linked: the others do not have its link any more. */
+  /** Marks the other incarnations of an executor that has linked as unlinked. */
   unlinkOthers(hello: ExecutorHello): void {
     const id = buildExecutorId(hello);
-    for (const other of this.agents.values()) {
-      if (other.agent === hello.agent && other.id !== id) other.linked = false;
+    for (const other of this.executors.values()) {
+      if (other.processId === hello.agent && other.id !== id) other.linked = false;
     }
   }
 
-  /** Other lives of an agent that had the same upstream. */
-  listOtherIncarnations(agent: ExecutorView): ExecutorView[] {
+  /** Lists the other incarnations of an executor that had the same upstream. */
+  listOtherIncarnations(executor: ExecutorView): ExecutorView[] {
     return this.list().filter(
       (other) =>
-        other !== agent && other.agent === agent.agent && other.room?.upstream === agent.room?.upstream,
+        other !== executor &&
+        other.processId === executor.processId &&
+        other.report?.upstream === executor.report?.upstream,
     );
   }
 
-  /** Takes the speeds that agents have told. */
+  /** Updates the typical speed from the reports of the executors. */
   updateSpeed(): void {
-    this.median = findMedianSpeed(this.agents.values());
+    this.median = findMedianSpeed(this.executors.values());
   }
 
-  /** Forgets a life that is over. */
+  /** Removes an incarnation that has ended. */
   delete(id: string): void {
-    this.agents.delete(id);
+    this.executors.delete(id);
   }
 
-  /** Forgets an agent that has been gone for long. */
-  forgetIfGone({ id, linked, heardAt }: ExecutorView, now: number): void {
-    if (!linked && now > heardAt + FORGET_AGENT_MS) this.agents.delete(id);
+  /** Removes an executor that has been unlinked for longer than the retention time. */
+  deleteIfGone({ id, linked, lastReceivedAt }: ExecutorView, now: number): void {
+    if (!linked && now > lastReceivedAt + RETENTION_MS) this.executors.delete(id);
   }
 
-  /** Bytes of starts on their way; what was sent to an agent that says nothing may never arrive, and is not counted. */
+  /** Sums the bytes of starts in flight, except to unresponsive executors, where they may never arrive. */
   sumBytesInFlight(now: number): number {
     let bytes = 0;
-    for (const agent of this.agents.values()) {
-      if (agent.linked && this.isFresh(agent, now)) bytes += agent.unseenBytes;
+    for (const executor of this.executors.values()) {
+      if (executor.linked && this.isFresh(executor, now)) bytes += executor.bytesInFlight;
     }
     return bytes;
   }
 
-  private isFresh({ heardAt }: ExecutorView, now: number): boolean {
-    return now - heardAt <= this.staleMs;
+  private isFresh({ lastReceivedAt }: ExecutorView, now: number): boolean {
+    return now - lastReceivedAt <= this.staleMs;
   }
 }
 
-function findMedianSpeed(agents: Iterable<ExecutorView>): number {
+function findMedianSpeed(executors: Iterable<ExecutorView>): number {
   const speeds: number[] = [];
-  for (const { linked, room, isEmptied } of agents)
-    if (linked && !isEmptied && room && room.state === 'ready') speeds.push(room.speed);
+  for (const { linked, report, isEmptied } of executors)
+    if (linked && !isEmptied && report && report.state === 'ready') speeds.push(report.speed);
   speeds.sort((left, right) => left - right);
   return Math.max(MIN_TYPICAL_SPEED, speeds[Math.floor(speeds.length / 2)] ?? 1);
 }
--- a/src/process/dispatcher/ExecutorView.test.ts
+++ b/src/process/dispatcher/ExecutorView.test.ts
@@ -14,8 +14,8 @@
 const REPORT_MS = 100;
 let now = 0;
 
-/** Tells the room some time after it was told before. */
-function tellFree(
+/** Reports free CPU one interval after the previous report. */
+function reportFree(
   view: ExecutorView,
   cpuMilli: number,
   startsSeen = 0,
@@ -33,68 +33,68 @@
   view.recordCapacity({ description, free: buildAmount(cpuMilli), ...rest }, now);
 }
 
-describe('AgentView', () => {
+describe('ExecutorView', () => {
   let view: ExecutorView;
 
   beforeEach(() => {
     const hello = { agent: 'a1', life: '1', failureDomain: 'x', entryLife: '', orphanMs: 1_000 };
     view = new ExecutorView({ type: 'agent-hello', holding: [], results: [], ...hello }, 0);
-    tellFree(view, 10_000);
+    reportFree(view, 10_000);
   });
 
-  it('sees no risk where nobody else takes room', () => {
+  it('estimates no risk while no other dispatcher takes capacity', () => {
     view.reserve(NEED);
-    tellFree(view, 9_000, 1);
+    reportFree(view, 9_000, 1);
     expect(view.estimateRisk(NEED, now + REPORT_MS)).to.equal(0);
   });
 
-  it('sees a risk once others take room, the larger the less is left', () => {
-    tellFree(view, 8_000);
+  it('estimates a higher risk the less capacity other dispatchers leave', () => {
+    reportFree(view, 8_000);
     const withMuch = view.estimateRisk(NEED, now + REPORT_MS);
-    tellFree(view, 2_000);
+    reportFree(view, 2_000);
     expect(withMuch).to.be.within(0, 0.5);
     expect(view.estimateRisk(NEED, now + REPORT_MS)).to.be.greaterThan(withMuch);
   });
 
-  it('sees a larger risk the longer ago the room was told', () => {
-    tellFree(view, 8_000);
+  it('estimates a higher risk the older the report is', () => {
+    reportFree(view, 8_000);
     expect(view.estimateRisk(NEED, now + 1)).to.be.lessThan(view.estimateRisk(NEED, now + REPORT_MS));
   });
 
-  it('does not take its own starts and ends for those of others', () => {
+  it('does not attribute own starts and ends to other dispatchers', () => {
     view.reserve(NEED);
     view.reserve(NEED);
-    tellFree(view, 8_000, 2);
+    reportFree(view, 8_000, 2);
     view.release(NEED);
-    tellFree(view, 9_000, 2);
+    reportFree(view, 9_000, 2);
     expect(view.estimateRisk(NEED, now + REPORT_MS)).to.equal(0);
   });
 
-  it('does not compare the rooms of two upstreams', () => {
-    tellFree(view, 1_000, 0, 'u2');
+  it('does not compare reports of two upstreams', () => {
+    reportFree(view, 1_000, 0, 'u2');
     expect(view.estimateRisk(NEED, now + REPORT_MS)).to.equal(0);
   });
 
-  it('counts what others take from when the agent was met, also if its first ping tells no room', () => {
+  it('observes other dispatchers from the hello on, even if the first ping has no report', () => {
     const hello = { agent: 'a2', life: '1', failureDomain: 'x', entryLife: '', orphanMs: 1_000 };
     const ping = { type: 'ping', at: 0, version: 1, room: undefined, progress: undefined } as const;
-    const risks = [0, 60_000].map((metAt) => {
-      const late = new ExecutorView({ type: 'agent-hello', holding: [], results: [], ...hello }, metAt);
-      now = metAt;
+    const risks = [0, 60_000].map((linkedAt) => {
+      const late = new ExecutorView({ type: 'agent-hello', holding: [], results: [], ...hello }, linkedAt);
+      now = linkedAt;
       late.recordPing(ping, now);
-      tellFree(late, 10_000);
-      tellFree(late, 4_000);
+      reportFree(late, 10_000);
+      reportFree(late, 4_000);
       return late.estimateRisk(NEED, now + REPORT_MS);
     });
     expect(risks[0]).to.be.greaterThan(0);
     expect(risks[1]).to.be.closeTo(risks[0] ?? 0, 0.001);
   });
 
-  it('follows a capacity that changes, and takes that for no room that others took', () => {
-    tellFree(view, 4_000, 0, 'u1', buildAmount(4_000));
-    expect([view.free.cpuMilli, view.room?.capacity.cpuMilli]).to.deep.equal([4_000, 4_000]);
+  it('follows a changed capacity without attributing it to other dispatchers', () => {
+    reportFree(view, 4_000, 0, 'u1', buildAmount(4_000));
+    expect([view.free.cpuMilli, view.report?.capacity.cpuMilli]).to.deep.equal([4_000, 4_000]);
     expect(view.estimateRisk(NEED, now + REPORT_MS)).to.equal(0);
-    tellFree(view, -2_000, 0, 'u1', buildAmount(1_000));
+    reportFree(view, -2_000, 0, 'u1', buildAmount(1_000));
     expect(view.free.cpuMilli).to.equal(-2_000);
   });
 });
--- a/src/process/dispatcher/ExecutorView.ts
+++ b/src/process/dispatcher/ExecutorView.ts
@@ -1,4 +1,4 @@
-/** What an entry knows of one agent: its room as last told, less what was sent since, and how fresh that is. */
+/** A dispatcher's view of one executor: its last capacity report, less what was sent since. */
 import type {
   ExecutorHello,
   Ping,
@@ -14,202 +14,203 @@
 import type { Resources } from '../../request/dispatch/submission.js';
 
 /**
- * Names one life of an agent.
+ * Builds the id of an incarnation of an executor.
  *
- * @param hello - its first message
- * @returns process id and life
+ * @param hello - first message of the executor
+ * @returns process id and incarnation
  */
 export function buildExecutorId({ agent, life }: ExecutorHello): string {
   return `${agent}@${life}`;
 }
 
-/** What is kept, with each report, of the earlier observations of what others take. */
-const KEPT_SHARE = 0.8;
-/** Time from sending a start until it takes room at the agent, ms: a way and a turn of the agent's loop. */
-const START_TRIP_MS = 3;
+/** Weight of earlier observations, at each report, in the rate at which other dispatchers take capacity. */
+const HISTORY_WEIGHT = 0.8;
+/** Time from sending a start until it takes capacity at the executor, ms. */
+const START_TRANSIT_MS = 3;
 
 /**
- * How much the least time of an echo rises with each further echo, as a share: it triples in 20 s of pings, so that a way
- * that has become longer is taken for what it is, and a link that is full for seconds is not.
+ * Relative rise of the minimum round-trip time with each pong. The minimum adapts to a longer route within
+ * some 20 s, but not to a link that is congested for seconds.
  */
-const FLOOR_RISE = 0.01;
+const MIN_RISE = 0.01;
 
-/** A start that the agent has not said to have seen. */
-interface UnseenStart {
+/** A start that the executor has not acknowledged. */
+interface InFlightStart {
   readonly number: number;
   readonly need: Resources;
   readonly bytes: number;
 }
 
-/** An upstream and its room as last told. */
+/** An upstream and its last reported capacity. */
 export type ExecutorCapacity = UpstreamDescription & Omit<CapacityReport, 'description'>;
 
-/** An agent as the entry sees it. */
+/** An executor as seen by a dispatcher. */
 export class ExecutorView {
-  /** Process and life: attempts belong to one life of an agent. */
+  /** Process id and incarnation: attempts belong to one incarnation of an executor. */
   readonly id: string;
-  readonly agent: string;
+  readonly processId: string;
   readonly failureDomain: string;
-  /** Longest time after the newest message for which our tasks can still run there, ms. */
+  /** Orphan timeout: how long tasks of this dispatcher can still run there after the last message, ms. */
   readonly orphanMs: number;
   linked = true;
-  /** Whether the operators have emptied its failure domain, so that nothing is placed there. */
+  /** Whether operators have emptied its failure domain, so that no task is placed there. */
   isEmptied = false;
-  room: ExecutorCapacity | undefined;
+  report: ExecutorCapacity | undefined;
   /**
-   * Our time of the newest ping, room or result. The agent stops our work by the age of the newest ping that we have
-   * echoed, which came no later; so what counts from here ends no sooner than the agent's own count.
+   * Time of the last ping, capacity report or result. The executor measures its orphan timeout from the last
+   * acknowledged ping, which is not later, so a timeout measured from here never ends before it.
    */
-  heardAt: number;
-  /** When its upstream last ceased to answer, ms. */
+  lastReceivedAt: number;
+  /** When its upstream last became unresponsive, ms. */
   downAt = -Infinity;
-  /** Until when nothing is sent, after it had no room, ms. */
+  /** Until when no task is sent after the executor rejected a start, ms. */
   pausedUntil = 0;
-  private agentClock = 0;
+  private executorClock = 0;
   private clockAt = 0;
-  private starts = 0;
-  /** Starts that the newest room does not count yet, oldest first. */
-  private readonly unseen: UnseenStart[] = [];
+  private startsSent = 0;
+  /** Starts that the last report does not include, oldest first. */
+  private readonly inFlight: InFlightStart[] = [];
   private reserved: Resources = NO_RESOURCES;
-  private bytesOnTheWay = 0;
-  /** Least time that an echo took of late, ms. */
-  private echoFloorMs = Infinity;
-  /** What attempts took that have ended since the room was last told. */
+  private inFlightBytes = 0;
+  /** Recent minimum of the round-trip time, ms. */
+  private minRoundTripMs = Infinity;
+  /** Resources of attempts that have ended since the last report. */
   private released: Resources = NO_RESOURCES;
-  /** Processor room that others took from one report to the next, thousandths of a core, and the time it took, ms. */
-  private taken = 0;
+  /** CPU that other dispatchers took between reports, thousandths of a core, and the time observed, ms. */
+  private takenByOthers = 0;
   private observedMs = 0;
-  /** Our time of the newest report of room; at first, when the agent was met. */
-  private roomAt: number;
+  /** Time of the last capacity report; initially the time of the hello. */
+  private reportedAt: number;
 
   constructor(hello: ExecutorHello, now: number) {
     this.id = buildExecutorId(hello);
-    this.agent = hello.agent;
+    this.processId = hello.agent;
     this.failureDomain = hello.failureDomain;
     this.orphanMs = hello.orphanMs;
-    this.heardAt = now;
-    this.roomAt = now;
+    this.lastReceivedAt = now;
+    this.reportedAt = now;
   }
 
-  /** What can be sent there now. */
+  /** Resources available for new tasks. */
   get free(): Resources {
-    const told = addResources(this.room?.free ?? NO_RESOURCES, this.released);
-    return subtractResources(told, this.reserved);
+    const reported = addResources(this.report?.free ?? NO_RESOURCES, this.released);
+    return subtractResources(reported, this.reserved);
   }
 
-  /** Whether the agent prefers this dispatcher to others: each agent prefers one. */
+  /** Whether this is the preferred dispatcher of the executor; each executor has one. */
   get isHome(): boolean {
-    return this.room?.isHome === true;
+    return this.report?.isHome === true;
   }
 
   /**
-   * Whether it is linked and takes work.
+   * Checks whether the executor is linked and accepts tasks.
    *
    * @param now - monotonic time, ms
-   * @param staleMs - time since it was last heard from which on it gets nothing new, ms
+   * @param staleMs - age of the last message after which it is sent no new tasks, ms
    */
   isReady(now: number, staleMs: number): boolean {
-    if (!this.linked || this.isEmptied || now - this.heardAt > staleMs) return false;
-    return this.room?.state === 'ready';
+    if (!this.linked || this.isEmptied || now - this.lastReceivedAt > staleMs) return false;
+    return this.report?.state === 'ready';
   }
 
-  /** Starts that are on their way. */
-  get unseenStarts(): number {
-    return this.unseen.length;
+  /** Number of starts that the executor has not acknowledged. */
+  get startsInFlight(): number {
+    return this.inFlight.length;
   }
 
-  /** Bytes of those starts. */
-  get unseenBytes(): number {
-    return this.bytesOnTheWay;
+  /** Bytes of the starts that the executor has not acknowledged. */
+  get bytesInFlight(): number {
+    return this.inFlightBytes;
   }
 
-  /** Takes the time that an echo took, and returns how much longer that was than the fastest of late, ms. */
-  recordRoundTrip(tookMs: number): number {
-    this.echoFloorMs = Math.min(tookMs, this.echoFloorMs * (1 + FLOOR_RISE));
-    return tookMs - this.echoFloorMs;
+  /** Records a round-trip time, and returns by how much it exceeds the recent minimum, ms. */
+  recordRoundTrip(roundTripMs: number): number {
+    this.minRoundTripMs = Math.min(roundTripMs, this.minRoundTripMs * (1 + MIN_RISE));
+    return roundTripMs - this.minRoundTripMs;
   }
 
-  /** The link was opened anew: counts on it begin again. */
+  /** Resets the counts of a link that was reopened. */
   reopen(now: number): void {
     this.linked = true;
-    this.heardAt = Math.max(this.heardAt, now);
-    this.starts = 0;
-    this.unseen.length = 0;
-    this.bytesOnTheWay = 0;
+    this.lastReceivedAt = Math.max(this.lastReceivedAt, now);
+    this.startsSent = 0;
+    this.inFlight.length = 0;
+    this.inFlightBytes = 0;
     this.reserved = NO_RESOURCES;
     this.released = NO_RESOURCES;
   }
 
-  /** Takes a ping; pings prove that the agent lived, and carry its clock. */
+  /** Records a ping, which carries the executor's clock and possibly its capacity. */
   recordPing(ping: Ping, now: number): void {
-    this.heardAt = now;
+    this.lastReceivedAt = now;
     this.recordClock(ping.at, now);
     if (ping.room) this.recordCapacity(ping.room, now);
-    else this.observe(0, now);
+    else this.recordTakenByOthers(0, now);
   }
 
-  /** Takes the agent's clock from any message that has just come. */
+  /** Records the executor's clock from a message just received. */
   recordClock(at: number, now: number): void {
-    this.agentClock = at;
+    this.executorClock = at;
     this.clockAt = now;
   }
 
-  /** Takes a room that is newer than the one known. */
-  recordCapacity(room: CapacityReport, now: number): void {
-    const { description = this.room, ...rest } = room;
+  /** Records a capacity report. */
+  recordCapacity(report: CapacityReport, now: number): void {
+    const { description = this.report, ...rest } = report;
     if (!description) return;
     const { upstream, service, labels, capacity } = description;
     const freeBefore = this.free.cpuMilli;
-    const isSame = this.room?.upstream === upstream && equalResources(this.room.capacity, capacity);
-    const isDown = room.state === 'silent' || room.state === 'absent';
-    if (isDown && this.room?.state === 'ready') this.downAt = now;
-    this.room = { upstream, service, labels, capacity, ...rest };
+    const isSame = this.report?.upstream === upstream && equalResources(this.report.capacity, capacity);
+    const isDown = report.state === 'silent' || report.state === 'absent';
+    if (isDown && this.report?.state === 'ready') this.downAt = now;
+    this.report = { upstream, service, labels, capacity, ...rest };
     this.released = NO_RESOURCES;
-    while (this.unseen[0] && this.unseen[0].number <= room.startsSeen) {
-      const seen = this.unseen.shift();
-      if (!seen) continue;
-      this.reserved = subtractResources(this.reserved, seen.need);
-      this.bytesOnTheWay -= seen.bytes;
+    while (this.inFlight[0] && this.inFlight[0].number <= report.startsSeen) {
+      const received = this.inFlight.shift();
+      if (!received) continue;
+      this.reserved = subtractResources(this.reserved, received.need);
+      this.inFlightBytes -= received.bytes;
     }
-    if (isSame) this.observe(Math.max(0, freeBefore - this.free.cpuMilli), now);
-    this.roomAt = now;
+    if (isSame) this.recordTakenByOthers(Math.max(0, freeBefore - this.free.cpuMilli), now);
+    this.reportedAt = now;
   }
 
-  private observe(taken: number, now: number): void {
-    this.taken = this.taken * KEPT_SHARE + taken;
-    this.observedMs = this.observedMs * KEPT_SHARE + (now - this.roomAt);
-    this.roomAt = now;
+  private recordTakenByOthers(taken: number, now: number): void {
+    this.takenByOthers = this.takenByOthers * HISTORY_WEIGHT + taken;
+    this.observedMs = this.observedMs * HISTORY_WEIGHT + (now - this.reportedAt);
+    this.reportedAt = now;
   }
 
   /**
-   * Estimates how probable it is that others have taken the room meanwhile that a task needs: the less is left beyond
-   * the task, against what others take in the time since the room was told, the likelier.
+   * Estimates the probability that other dispatchers have meanwhile taken the capacity that a task needs. It
+   * grows with the age of the report and with the rate at which they take capacity, and falls with the spare
+   * capacity.
    *
-   * @param need - of the task
+   * @param need - resources of the task
    * @param now - monotonic time, ms
    * @returns 0 to 1
    */
   estimateRisk(need: Resources, now: number): number {
-    if (this.taken === 0 || this.observedMs === 0) return 0;
-    const takenSince = (this.taken / this.observedMs) * (now - this.roomAt + START_TRIP_MS);
+    if (this.takenByOthers === 0 || this.observedMs === 0) return 0;
+    const takenSince = (this.takenByOthers / this.observedMs) * (now - this.reportedAt + START_TRANSIT_MS);
     return Math.exp(-Math.max(0, this.free.cpuMilli - need.cpuMilli) / takenSince);
   }
 
-  /** Takes room for a start of so many bytes that is sent now. */
+  /** Reserves capacity for a start of the given size that is sent now. */
   reserve(need: Resources, bytes = 0): void {
-    this.starts += 1;
-    this.unseen.push({ number: this.starts, need, bytes });
-    this.bytesOnTheWay += bytes;
+    this.startsSent += 1;
+    this.inFlight.push({ number: this.startsSent, need, bytes });
+    this.inFlightBytes += bytes;
     this.reserved = addResources(this.reserved, need);
   }
 
-  /** Takes the room of an attempt that has ended for free; the agent tells its room again after a result. */
+  /** Releases the resources of an ended attempt until the next capacity report. */
   release(need: Resources): void {
     this.released = addResources(this.released, need);
   }
 
-  /** The agent's clock now; behind it by the time its last message took. */
+  /** Estimates the executor's current clock; it lags by the transit time of the last message. */
   estimateClock(now: number): number {
-    return this.agentClock + (now - this.clockAt);
+    return this.executorClock + (now - this.clockAt);
   }
 }
--- a/src/process/dispatcher/FairOrder.test.ts
+++ b/src/process/dispatcher/FairOrder.test.ts
@@ -3,12 +3,12 @@
 
 import { ROUTE, STEP } from '../../../test/fakes/dispatchFixtures.js';
 import { FakeCaller } from '../../../test/fakes/FakeCaller.js';
-import { createDispatchJob, measureWork, stepTask } from './dispatchJob.js';
+import { createDispatchJob, computeTaskWork, transitionTask } from './dispatchJob.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import { FairOrder } from './FairOrder.js';
 
 const PATIENCE_MS = 1_000_000;
-/** Long enough for headroom to be learnt, ms. */
+/** Time until the arrival rate is known, ms. */
 const LATER_MS = 1_000;
 /** Objective of a job that arrives at 0: 1.6 times its work and 60 ms. */
 const OBJECTIVE_MS = STEP.estimateMs * ROUTE.stretch + ROUTE.targetLatencyMs;
@@ -32,28 +32,28 @@
     const waiting = jobs.flatMap((job) => job.tasks.filter(({ phase }) => phase === 'waiting'));
     const [task] = order.list(waiting, { now: 0, typicalSpeed: 1 });
     if (!task) break;
-    stepTask(task, 'send');
-    order.noteSent(task, 0);
-    work.set(task.job.id, (work.get(task.job.id) ?? 0) + measureWork(task));
+    transitionTask(task, 'send');
+    order.recordSent(task, 0);
+    work.set(task.job.id, (work.get(task.job.id) ?? 0) + computeTaskWork(task));
   }
   return work;
 }
 
 describe('FairOrder', () => {
-  it('serves the most urgent queue ahead of its share while that is what its callers usually ask for', () => {
+  it('serves the most urgent queue ahead of its share within its usual arrival rate', () => {
     const order = new FairOrder();
-    order.noteArrived(createJob('urgent', 0, 2), 0);
+    order.recordArrived(createJob('urgent', 0, 2), 0);
     const urgent = createJob('urgent', 0, 2, LATER_MS);
     const large = createJob('large', 2, 2, LATER_MS);
-    for (const job of [large, urgent]) order.noteArrived(job, LATER_MS);
+    for (const job of [large, urgent]) order.recordArrived(job, LATER_MS);
     expect(listNames(order, [large, urgent], LATER_MS)).to.deep.equal(['urgent', 'urgent', 'large', 'large']);
   });
 
-  it('serves what is in time before what is late, and of a queue the late jobs that lack the smallest part', () => {
+  it('serves tasks in time before late ones, and the late jobs with the smallest remaining fraction first', () => {
     const order = new FairOrder();
     const wide = createJob('wide', 0, 4);
-    wide.left = 1;
-    for (const task of wide.tasks.slice(1)) stepTask(task, 'send');
+    wide.remaining = 1;
+    for (const task of wide.tasks.slice(1)) transitionTask(task, 'send');
     const small = createJob('small', 0, 2);
     const fresh = createJob('fresh', 1, 1, OBJECTIVE_MS);
     const names = listNames(order, [small, wide, fresh], OBJECTIVE_MS);
@@ -63,20 +63,20 @@
     expect(listNames(order, sameQueue, OBJECTIVE_MS)[0]).to.equal('wide');
   });
 
-  it('gives back what was charged for a task that was not run', () => {
+  it('refunds the work of a task that was not run', () => {
     const order = new FairOrder();
     const [one, other] = [createJob('one', 1, 3), createJob('other', 1, 3)];
-    for (const job of [one, other]) order.noteArrived(job, 0);
+    for (const job of [one, other]) order.recordArrived(job, 0);
     const before = listNames(order, [one, other], 0);
     const [task] = one.tasks as [DispatchTask];
-    order.noteSent(task, 0);
+    order.recordSent(task, 0);
     expect(listNames(order, [one, other], 0)).not.to.deep.equal(before);
-    order.noteReturned(task, 0);
+    order.recordReturned(task, 0);
     expect(listNames(order, [one, other], 0)).to.deep.equal(before);
   });
 
-  // The pattern is a flood of one queue: the others get what they usually ask for.
-  it('lets no queue fall behind another by more than a task each, against their weights', () => {
+  // Guards against one overloaded queue starving the others.
+  it('keeps the weighted service of any two queues within a task of each', () => {
     const arbitrary = fc.array(
       fc.record({ count: fc.integer({ min: 30, max: 60 }), priority: fc.integer({ min: 0, max: 3 }) }),
       {
@@ -88,7 +88,7 @@
       fc.property(arbitrary, (queues) => {
         const order = new FairOrder();
         const jobs = queues.map(({ count, priority }, at) => createJob(`queue${at}`, priority, count));
-        for (const job of jobs) order.noteArrived(job, 0);
+        for (const job of jobs) order.recordArrived(job, 0);
         const work = sendFirst(order, jobs, 30);
         const perWeight = jobs.map((job, at) => {
           const { count, priority } = queues[at] ?? { count: 1, priority: 0 };
@@ -106,7 +106,7 @@
     );
   });
 
-  it('offers every waiting task once', () => {
+  it('lists every waiting task once', () => {
     fc.assert(
       fc.property(
         fc.array(fc.integer({ min: 1, max: 9 }), { maxLength: 6 }),
--- a/src/process/dispatcher/FairOrder.ts
+++ b/src/process/dispatcher/FairOrder.ts
@@ -1,77 +1,79 @@
 /** Weighted fair sharing of work between queues. */
-import { findWork, measureWork } from './dispatchJob.js';
+import { computeJobWork, computeTaskWork } from './dispatchJob.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import { QueueShare } from './QueueShare.js';
-import { canEndInTime, TaskOrder } from './TaskOrder.js';
+import { canFinishInTime, TaskOrder } from './TaskOrder.js';
 import type { OrderContext } from './TaskOrder.js';
 
-/** The tasks of one queue that wait. */
-interface Lane {
+/** Waiting tasks of one queue. */
+interface QueueTasks {
   readonly share: QueueShare;
   readonly weight: number;
   readonly inTime: DispatchTask[];
   readonly late: DispatchTask[];
-  /** Virtual time at which the next task starts, and work that may go ahead of all shares. */
+  /** Virtual start time of the next task, and work that may be placed ahead of all shares. */
   tag: number;
   headroom: number;
 }
 
 /**
- * Start-time fair queueing: the queue goes next that has had least against its weight; work that a queue has not asked
- * for is shared by the others, and none saves up what it did not use. A queue's weight is what its callers usually ask
- * for, less with each step of priority, so that a queue whose callers ask for more pays for that itself. The most
- * urgent queue goes ahead of all shares within its headroom: its jobs have no time to wait for a turn.
+ * Start-time fair queueing: the queue that was served least relative to its weight is next. Unused shares are
+ * divided among the other queues and are not saved up. The weight of a queue is its usual arrival rate,
+ * reduced with each priority step, so a queue that exceeds its usual rate delays only itself. The most urgent
+ * queue is served ahead of all shares within its headroom.
  *
- * Within a queue, tasks go by rank. What is late goes behind all that is in time, the jobs that lack the smallest part
- * of their work first: least work first would leave large jobs for last.
+ * Within a queue, tasks are ordered by rank. Late tasks follow all tasks that are in time, those of the jobs
+ * with the smallest remaining fraction first; ordering by remaining work would leave large jobs for last.
  */
 export class FairOrder extends TaskOrder {
   private readonly shares = new Map<string, QueueShare>();
   private virtualTime = 0;
 
   override list(tasks: readonly DispatchTask[], context: OrderContext): DispatchTask[] {
-    const lanes = this.sortIntoLanes(tasks, context);
-    if (lanes.length === 0) return [];
-    this.virtualTime = Math.max(this.virtualTime, Math.min(...lanes.map(({ tag }) => tag)));
+    const queues = this.groupByQueue(tasks, context);
+    if (queues.length === 0) return [];
+    this.virtualTime = Math.max(this.virtualTime, Math.min(...queues.map(({ tag }) => tag)));
     const order: DispatchTask[] = [];
-    mergeLanes(lanes, ({ inTime }) => inTime, order);
-    for (const lane of lanes) {
-      lane.late.sort((left, right) => findPartLeft(left.job) - findPartLeft(right.job));
-      lane.headroom = 0;
+    mergeQueues(queues, ({ inTime }) => inTime, order);
+    for (const queue of queues) {
+      queue.late.sort(
+        (left, right) => computeRemainingFraction(left.job) - computeRemainingFraction(right.job),
+      );
+      queue.headroom = 0;
     }
-    mergeLanes(lanes, ({ late }) => late, order);
+    mergeQueues(queues, ({ late }) => late, order);
     return order;
   }
 
-  override noteArrived(job: DispatchJob, now: number): void {
-    this.findShare(job).noteArrived(findWork(job), now);
+  override recordArrived(job: DispatchJob, now: number): void {
+    this.findShare(job).recordArrived(computeJobWork(job), now);
   }
 
-  override noteSent(task: DispatchTask, now: number): void {
-    this.findShare(task.job).noteServed(measureWork(task), this.virtualTime, now);
+  override recordSent(task: DispatchTask, now: number): void {
+    this.findShare(task.job).recordServed(computeTaskWork(task), this.virtualTime, now);
   }
 
-  override noteReturned(task: DispatchTask, now: number): void {
-    this.findShare(task.job).noteServed(-measureWork(task), 0, now);
+  override recordReturned(task: DispatchTask, now: number): void {
+    this.findShare(task.job).recordServed(-computeTaskWork(task), 0, now);
   }
 
-  private sortIntoLanes(tasks: readonly DispatchTask[], context: OrderContext): Lane[] {
-    const lanes = new Map<string, Lane>();
+  private groupByQueue(tasks: readonly DispatchTask[], context: OrderContext): QueueTasks[] {
+    const queues = new Map<string, QueueTasks>();
     for (const task of tasks) {
       const { name } = task.job.submission.route;
-      const lane = lanes.get(name) ?? this.createLane(task.job, context.now);
-      lanes.set(name, lane);
-      (canEndInTime(task, context) ? lane.inTime : lane.late).push(task);
+      const queue = queues.get(name) ?? this.createQueue(task.job, context.now);
+      queues.set(name, queue);
+      (canFinishInTime(task, context) ? queue.inTime : queue.late).push(task);
     }
-    const found = [...lanes.values()];
+    const found = [...queues.values()];
     const mostUrgent = Math.min(...found.map(({ share }) => share.priority));
-    for (const lane of found) {
-      if (lane.share.priority === mostUrgent) lane.headroom = lane.share.fillHeadroom(context.now);
+    for (const queue of found) {
+      if (queue.share.priority === mostUrgent) queue.headroom = queue.share.refillHeadroom(context.now);
     }
     return found;
   }
 
-  private createLane(job: DispatchJob, now: number): Lane {
+  private createQueue(job: DispatchJob, now: number): QueueTasks {
     const share = this.findShare(job);
     const tag = Math.max(this.virtualTime, share.tag);
     return { share, weight: share.findWeight(now), inTime: [], late: [], tag, headroom: 0 };
@@ -87,37 +89,37 @@
   }
 }
 
-/** Adds the tasks of all lanes to an order, each time of the lane whose turn it is; lanes are as few as busy queues. */
-function mergeLanes(
-  lanes: readonly Lane[],
-  pick: (lane: Lane) => readonly DispatchTask[],
+/** Appends the tasks of all queues to an order, each time from the queue with the lowest start tag. */
+function mergeQueues(
+  queues: readonly QueueTasks[],
+  pick: (queue: QueueTasks) => readonly DispatchTask[],
   order: DispatchTask[],
 ): void {
-  const waiting = lanes
-    .map((lane) => ({ lane, tasks: pick(lane), next: 0 }))
+  const waiting = queues
+    .map((queue) => ({ queue, tasks: pick(queue), next: 0 }))
     .filter(({ tasks }) => tasks.length > 0);
   while (waiting.length > 0) {
-    let turn = 0;
-    for (let at = 1; at < waiting.length; at += 1) {
-      if (findTurn(waiting[at]?.lane) < findTurn(waiting[turn]?.lane)) turn = at;
+    let best = 0;
+    for (let index = 1; index < waiting.length; index += 1) {
+      if (findStartTag(waiting[index]?.queue) < findStartTag(waiting[best]?.queue)) best = index;
     }
-    const chosen = waiting[turn];
-    const task = chosen?.tasks[chosen.next];
-    if (!chosen || !task) return;
+    const selected = waiting[best];
+    const task = selected?.tasks[selected.next];
+    if (!selected || !task) return;
     order.push(task);
-    chosen.next += 1;
-    chosen.lane.tag += measureWork(task) / chosen.lane.weight;
-    chosen.lane.headroom -= measureWork(task);
-    if (chosen.next === chosen.tasks.length) waiting.splice(turn, 1);
+    selected.next += 1;
+    selected.queue.tag += computeTaskWork(task) / selected.queue.weight;
+    selected.queue.headroom -= computeTaskWork(task);
+    if (selected.next === selected.tasks.length) waiting.splice(best, 1);
   }
 }
 
-/** When it is a lane's turn; lower goes first. */
-function findTurn(lane: Lane | undefined): number {
-  if (!lane) return Infinity;
-  return lane.headroom > 0 ? -Infinity : lane.tag;
+/** Finds the virtual time at which a queue is served next; the lowest is first. */
+function findStartTag(queue: QueueTasks | undefined): number {
+  if (!queue) return Infinity;
+  return queue.headroom > 0 ? -Infinity : queue.tag;
 }
 
-function findPartLeft({ left, tasks }: DispatchJob): number {
-  return left / tasks.length;
+function computeRemainingFraction({ remaining, tasks }: DispatchJob): number {
+  return remaining / tasks.length;
 }
--- a/src/process/dispatcher/IsolatedPlacement.test.ts
+++ b/src/process/dispatcher/IsolatedPlacement.test.ts
@@ -13,10 +13,16 @@
 const BUSY = { cpuMilli: 8_000, memoryMb: 1_000, gpus: 0 };
 const CRASHED_MS = 10_000;
 
-function createAgent(agent: string, free = CAPACITY): ExecutorView {
-  const hello = { type: 'agent-hello', agent, life: '1', failureDomain: 'x', orphanMs: 1_000 } as const;
+function createExecutor(processId: string, free = CAPACITY): ExecutorView {
+  const hello = {
+    type: 'agent-hello',
+    agent: processId,
+    life: '1',
+    failureDomain: 'x',
+    orphanMs: 1_000,
+  } as const;
   const view = new ExecutorView({ ...hello, holding: [], results: [], entryLife: '' }, 0);
-  const description = { upstream: agent, service: 'service', labels: [], capacity: CAPACITY };
+  const description = { upstream: processId, service: 'service', labels: [], capacity: CAPACITY };
   view.recordCapacity({ description, state: 'ready', trust: 'healthy', free, startsSeen: 0, speed: 1 }, 0);
   return view;
 }
@@ -36,26 +42,26 @@
     placement = new IsolatedPlacement(new SpeedPlacement(1));
   });
 
-  function choose(task: DispatchTask, agents: readonly ExecutorView[], now = 0): string | undefined {
+  function choose(task: DispatchTask, executors: readonly ExecutorView[], now = 0): string | undefined {
     const context = { now, typicalSpeed: 1, staleMs: Infinity, returnMs: 50, nextRandom: createRandom(1) };
-    return placement.choose(task, agents, context)?.agent;
+    return placement.choose(task, executors, context)?.processId;
   }
 
-  it('chooses no agent at which another suspect is', () => {
-    const agents = [createAgent('a'), createAgent('b', BUSY)];
+  it('chooses no executor with another suspect', () => {
+    const executors = [createExecutor('a'), createExecutor('b', BUSY)];
     const first = createTask('first');
-    first.agent = agents[0]?.id ?? '';
-    placement.noteSent(first);
-    expect(choose(createTask('second'), agents)).to.equal('b');
-    placement.noteEnd(first, false, 0);
-    expect(choose(createTask('second'), agents)).to.equal('a');
+    first.executorId = executors[0]?.id ?? '';
+    placement.recordSent(first);
+    expect(choose(createTask('second'), executors)).to.equal('b');
+    placement.recordEnd(first, false, 0);
+    expect(choose(createTask('second'), executors)).to.equal('a');
   });
 
-  it('prefers a busy agent to an idle one whose upstream has crashed of late', () => {
-    const agents = [createAgent('crashed'), createAgent('busy', BUSY)];
-    placement.noteCrash(agents[0]?.id ?? '', 0);
-    expect(choose(createTask('job'), agents)).to.equal('busy');
-    expect(choose(createTask('job'), agents.slice(0, 1))).to.equal('crashed');
-    expect(choose(createTask('job'), agents, CRASHED_MS)).to.equal('crashed');
+  it('prefers a busy executor to an idle one whose upstream crashed recently', () => {
+    const executors = [createExecutor('crashed'), createExecutor('busy', BUSY)];
+    placement.recordCrash(executors[0]?.id ?? '', 0);
+    expect(choose(createTask('job'), executors)).to.equal('busy');
+    expect(choose(createTask('job'), executors.slice(0, 1))).to.equal('crashed');
+    expect(choose(createTask('job'), executors, CRASHED_MS)).to.equal('crashed');
   });
 });
--- a/src/process/dispatcher/IsolatedPlacement.ts
+++ b/src/process/dispatcher/IsolatedPlacement.ts
@@ -3,98 +3,97 @@
 import { Placement } from './Placement.js';
 import type { PlacementContext } from './Placement.js';
 
-/** How long an agent is left out at which a suspect of another dispatcher is, ms: about the time of a short task. */
+/** How long an executor with a suspect of another dispatcher is skipped, ms; about a short task. */
 const OCCUPIED_MS = 60;
 /**
- * How long an agent comes last after its upstream has crashed, ms: one that goes down and up by turns is idle when it is
- * back, and would soon count against the task that is sent there.
+ * How long an executor is chosen last after its upstream has crashed, ms. An upstream that keeps crashing is
+ * idle after each restart, and its next crash would be blamed on the suspect sent there.
  */
 const CRASHED_MS = 10_000;
 
 /**
- * Chooses agents for suspects: where no other suspect is, and of those where the least runs, so that the next crash tells
- * which task it is and takes little along.
+ * Chooses executors for suspect tasks: one without another suspect and with the least load, so that a crash
+ * identifies its cause and affects few other tasks.
  */
 export class IsolatedPlacement extends Placement {
-  /** Suspects that may run somewhere. */
+  /** Suspects with an outstanding attempt. */
   private readonly running = new Set<DispatchTask>();
-  /** Until when agents are left out, by id, ms. */
+  /** Until when executors are skipped, by id, ms. */
   private readonly occupiedUntil = new Map<string, number>();
-
-  /** Until when agents come last, by id, ms. */
+  /** Until when executors are chosen last, by id, ms. */
   private readonly crashedUntil = new Map<string, number>();
 
-  /** @param placement - chooses among agents that are equally free */
+  /** @param placement - chooses among executors with equal load */
   constructor(private readonly placement: Placement) {
     super();
   }
 
   override choose(
     task: DispatchTask,
-    agents: readonly ExecutorView[],
+    executors: readonly ExecutorView[],
     context: PlacementContext,
   ): ExecutorView | undefined {
-    const taken = this.listTaken(context.now);
-    const apart = agents.filter(({ id }) => !taken.has(id));
-    const sound = apart.filter(({ id }) => !task.avoid.has(id) && !this.hasCrashed(id, context.now));
-    return this.chooseAmong(task, sound, context) ?? this.chooseAmong(task, apart, context);
+    const occupied = this.listOccupied(context.now);
+    const unoccupied = executors.filter(({ id }) => !occupied.has(id));
+    const healthy = unoccupied.filter(({ id }) => !task.avoid.has(id) && !this.hasCrashed(id, context.now));
+    return this.chooseAmong(task, healthy, context) ?? this.chooseAmong(task, unoccupied, context);
   }
 
-  /** The upstream of an agent has crashed. */
-  noteCrash(agent: string, now: number): void {
-    this.crashedUntil.set(agent, now + CRASHED_MS);
+  /** Records a crash of the upstream of an executor. */
+  recordCrash(executorId: string, now: number): void {
+    this.crashedUntil.set(executorId, now + CRASHED_MS);
   }
 
-  /** Forgets what is long ago. */
+  /** Removes expired crashes. */
   tick(now: number): void {
     for (const [id, until] of this.crashedUntil) if (until <= now) this.crashedUntil.delete(id);
   }
 
-  private hasCrashed(agent: string, now: number): boolean {
-    return (this.crashedUntil.get(agent) ?? 0) > now;
+  private hasCrashed(executorId: string, now: number): boolean {
+    return (this.crashedUntil.get(executorId) ?? 0) > now;
   }
 
   private chooseAmong(
     task: DispatchTask,
-    apart: ExecutorView[],
+    candidates: ExecutorView[],
     context: PlacementContext,
   ): ExecutorView | undefined {
-    const idle = apart.filter((agent) => measureLoad(agent) === 0);
+    const idle = candidates.filter((executor) => computeLoad(executor) === 0);
     const chosen = this.placement.choose(task, idle, context);
     if (chosen) return chosen;
-    const byLoad = apart.sort((left, right) => measureLoad(left) - measureLoad(right));
-    return byLoad.find((agent) => this.placement.choose(task, [agent], context) !== undefined);
+    const byLoad = candidates.sort((left, right) => computeLoad(left) - computeLoad(right));
+    return byLoad.find((executor) => this.placement.choose(task, [executor], context) !== undefined);
   }
 
-  /** A suspect was sent to its agent. */
-  noteSent(task: DispatchTask): void {
+  /** Records that a suspect was sent to its executor. */
+  recordSent(task: DispatchTask): void {
     this.running.add(task);
   }
 
   /**
-   * A suspect does not run any more.
+   * Records the end of an attempt of a suspect.
    *
    * @param task - the suspect
-   * @param wasOccupied - whether its agent has not begun it as another suspect is there
+   * @param wasOccupied - whether its executor rejected it because another suspect runs there
    * @param now - monotonic time, ms
    */
-  noteEnd(task: DispatchTask, wasOccupied: boolean, now: number): void {
+  recordEnd(task: DispatchTask, wasOccupied: boolean, now: number): void {
     this.running.delete(task);
-    if (wasOccupied) this.occupiedUntil.set(task.agent, now + OCCUPIED_MS);
+    if (wasOccupied) this.occupiedUntil.set(task.executorId, now + OCCUPIED_MS);
   }
 
-  private listTaken(now: number): Set<string> {
-    const taken = new Set([...this.running].map(({ agent }) => agent));
+  private listOccupied(now: number): Set<string> {
+    const occupied = new Set([...this.running].map(({ executorId }) => executorId));
     for (const [id, until] of this.occupiedUntil) {
-      if (until > now) taken.add(id);
+      if (until > now) occupied.add(id);
       else this.occupiedUntil.delete(id);
     }
-    return taken;
+    return occupied;
   }
 }
 
-/** Share of an agent's processor room that is taken, 0 to 1. */
-function measureLoad({ room, free, unseenStarts }: ExecutorView): number {
-  if (!room || room.capacity.cpuMilli === 0) return unseenStarts;
-  return 1 - free.cpuMilli / room.capacity.cpuMilli;
+/** Computes the used fraction of an executor's CPU, 0 to 1. */
+function computeLoad({ report, free, startsInFlight }: ExecutorView): number {
+  if (!report || report.capacity.cpuMilli === 0) return startsInFlight;
+  return 1 - free.cpuMilli / report.capacity.cpuMilli;
 }
--- a/src/process/dispatcher/JobTable.ts
+++ b/src/process/dispatcher/JobTable.ts
@@ -1,11 +1,11 @@
-/** The jobs of a dispatcher, and those submitted again while tasks of an earlier submission may still run. */
+/** Jobs of a dispatcher, and resubmitted jobs of which tasks of an earlier submission may still run. */
 import type { AttemptName } from '../../connection/peer/peerMessages.js';
 import type { Caller } from '../../ports/CallerGateway.js';
 import type { JobSubmission } from '../../request/dispatch/submission.js';
-import { findTask, isOut } from './dispatchJob.js';
+import { findTask, isOutstanding } from './dispatchJob.js';
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 
-/** A job that waits to be taken. */
+/** A submission that waits to be admitted. */
 export interface Submission {
   readonly submission: JobSubmission;
   readonly caller: Caller;
@@ -16,17 +16,17 @@
 /** Jobs of one dispatcher, by id. */
 export class JobTable {
   private readonly jobs = new Map<string, DispatchJob>();
-  /** The newest submission of a job of which an earlier one may still run, by job id. */
+  /** Latest submission of each job of which an earlier submission may still run, by job id. */
   readonly successors = new Map<string, Submission>();
 
-  /** Jobs whose caller waits. */
+  /** Counts the jobs whose caller waits. */
   countOpen(): number {
     let open = this.successors.size;
     for (const job of this.jobs.values()) if (!job.answered) open += 1;
     return open;
   }
 
-  /** Open jobs of a queue that were never offered to an agent. */
+  /** Counts the open jobs of a queue of which no task was sent yet. */
   countPending(routeName: string): number {
     let count = 0;
     for (const job of this.jobs.values()) {
@@ -35,7 +35,7 @@
     return count;
   }
 
-  /** All jobs, also those that were answered while tasks of them may run. */
+  /** Lists all jobs, including answered ones of which tasks may still run. */
   list(): DispatchJob[] {
     return [...this.jobs.values()];
   }
@@ -54,22 +54,23 @@
     return job?.answered ? undefined : job;
   }
 
-  /** Finds the task that an attempt is of. */
+  /** Finds the task of an attempt. */
   findTask({ job: id, step, index }: AttemptName): DispatchTask | undefined {
     const job = this.jobs.get(id);
     return job && findTask(job, step, index);
   }
 
-  /** Tasks whose newest attempt is out at a life of an agent. */
-  listTasksAt(agentId: string): DispatchTask[] {
+  /** Lists the tasks with an outstanding attempt at an executor. */
+  listTasksAt(executorId: string): DispatchTask[] {
     const tasks: DispatchTask[] = [];
     for (const job of this.jobs.values()) {
-      for (const task of job.tasks) if (task.agent === agentId && isOut(task)) tasks.push(task);
+      for (const task of job.tasks)
+        if (task.executorId === executorId && isOutstanding(task)) tasks.push(task);
     }
     return tasks;
   }
 
-  /** Forgets a job, and returns the submission that came in its place. */
+  /** Removes a job, and returns the submission that replaces it. */
   delete(id: string): Submission | undefined {
     this.jobs.delete(id);
     const successor = this.successors.get(id);
--- a/src/process/dispatcher/Placement.ts
+++ b/src/process/dispatcher/Placement.ts
@@ -1,133 +1,133 @@
-/** Chooses the agent for a task. */
+/** Chooses the executor for a task. */
 import { fitResources } from '../../request/dispatch/resources.js';
 import type { ExecutorView } from './ExecutorView.js';
 import type { DispatchTask } from './dispatchJob.js';
 
-/** Share of the typical speed below which an upstream is left alone. */
+/** Fraction of the typical speed below which an upstream is not used. */
 export const SLOW_SHARE = 0.4;
-/** Weight of an agent's load against its speed. */
+/** Weight of an executor's load relative to its slowness. */
 const LOAD_WEIGHT = 0.25;
-/** Agents that are compared where there are more: the best of a few, so that entries do not all choose the same one. */
+/** Maximum number of random candidates, so that dispatchers do not all choose the same executor. */
 const MAX_COMPARED = 8;
-/** Spread of choices between entries that see the same room. */
+/** Random part of the cost, so that dispatchers with the same view choose differently. */
 const JITTER = 0.1;
 /**
- * How much costlier, in parts of a task's time, another agent may be than the one that has just got a task of the same
- * job: tasks that go to one agent together share a message, of which the job's text is most.
+ * Cost bonus of the executor that has just received a task of the same job, as a fraction of the task's time:
+ * tasks sent together share a message and the job's spec in it.
  */
-const TOGETHER_WORTH = 0.2;
+const SAME_JOB_BONUS = 0.2;
 /**
- * How much costlier, in parts of a task's time, an agent may be that prefers this dispatcher: by as much as an agent's
- * whole load, so that those are filled first unless they are slower by about a quarter. Most of an agent's room is then
- * asked for by one dispatcher only, which knows what it has sent there, and fewer starts come back.
+ * Cost bonus of an executor that prefers this dispatcher, as a fraction of the task's time. It equals the
+ * cost of a full load, so that these executors are filled first unless they are slower by about a quarter.
+ * Most of the capacity of an executor is then used by one dispatcher, and fewer starts are rejected.
  */
-const HOME_WORTH = LOAD_WEIGHT;
+const PREFERRED_BONUS = LOAD_WEIGHT;
 
-/** What a placement may know besides the agents. */
+/** State of the dispatcher that a placement reads. */
 export interface PlacementContext {
   readonly now: number;
   /** Typical speed of the upstreams. */
   readonly typicalSpeed: number;
-  /** Age of a ping from which on an agent is not used, ms. */
+  /** Age of the last message after which an executor is not used, ms. */
   readonly staleMs: number;
-  /** Time that a task loses at an agent that has no room for it any more, ms. */
+  /** Time that a task loses if an executor rejects it for lack of capacity, ms. */
   readonly returnMs: number;
   readonly nextRandom: () => number;
 }
 
-/** A way to choose an agent. */
+/** A strategy to choose an executor. */
 export abstract class Placement {
   abstract choose(
     task: DispatchTask,
-    agents: readonly ExecutorView[],
+    executors: readonly ExecutorView[],
     context: PlacementContext,
   ): ExecutorView | undefined;
 }
 
-/** The agent where the task will probably end first, of some that have room: fast, near its data, with little load. */
+/** Chooses the executor where the task should end first, by speed, load and distance from the data. */
 export class SpeedPlacement extends Placement {
-  /** @param farFactor - how much longer a task takes away from its data */
+  /** @param farFactor - factor by which a task takes longer away from its data */
   constructor(private readonly farFactor: number) {
     super();
   }
 
   override choose(
     task: DispatchTask,
-    agents: readonly ExecutorView[],
+    executors: readonly ExecutorView[],
     context: PlacementContext,
   ): ExecutorView | undefined {
     let best: ExecutorView | undefined;
     let bestCost = Infinity;
-    const compare = (agent: ExecutorView, worth: number): void => {
-      const cost = this.measureCost(task, agent, context) - worth;
-      if (cost < bestCost) [best, bestCost] = [agent, cost];
+    const compare = (executor: ExecutorView, bonus: number): void => {
+      const cost = this.computeCost(task, executor, context) - bonus;
+      if (cost < bestCost) [best, bestCost] = [executor, cost];
     };
-    for (const agent of agents) {
-      const worth = this.measurePreference(task, agent);
-      if (worth > 0 && isUsable(task, agent, context)) compare(agent, worth);
+    for (const executor of executors) {
+      const bonus = this.computeBonus(task, executor);
+      if (bonus > 0 && isUsable(task, executor, context)) compare(executor, bonus);
     }
-    // Data are in few places: those must not be passed over.
-    const mostCompared = task.need.preferredRack === '' ? MAX_COMPARED : agents.length;
-    const start = Math.floor(context.nextRandom() * agents.length);
+    // Few executors are near the data, so all are compared.
+    const mostCompared = task.need.preferredRack === '' ? MAX_COMPARED : executors.length;
+    const start = Math.floor(context.nextRandom() * executors.length);
     let compared = 0;
-    for (let step = 0; step < agents.length && compared < mostCompared; step += 1) {
-      const agent = agents[(start + step) % agents.length];
-      if (!agent || this.measurePreference(task, agent) > 0 || !isUsable(task, agent, context)) continue;
+    for (let step = 0; step < executors.length && compared < mostCompared; step += 1) {
+      const executor = executors[(start + step) % executors.length];
+      if (!executor || this.computeBonus(task, executor) > 0 || !isUsable(task, executor, context)) continue;
       compared += 1;
-      compare(agent, 0);
+      compare(executor, 0);
     }
     return best;
   }
 
-  /** How much costlier an agent may be than others, in parts of the task's time; any above 0 is always compared. */
-  protected measurePreference(_task: DispatchTask, _agent: ExecutorView): number {
+  /** Cost bonus of an executor, as a fraction of the task's time; one with a bonus is always compared. */
+  protected computeBonus(_task: DispatchTask, _executor: ExecutorView): number {
     return 0;
   }
 
-  private measureCost(task: DispatchTask, agent: ExecutorView, context: PlacementContext): number {
-    const { room } = agent;
-    if (!room) return Infinity;
-    const slowness = context.typicalSpeed / Math.max(room.speed, context.typicalSpeed * 0.1);
+  private computeCost(task: DispatchTask, executor: ExecutorView, context: PlacementContext): number {
+    const { report } = executor;
+    if (!report) return Infinity;
+    const slowness = context.typicalSpeed / Math.max(report.speed, context.typicalSpeed * 0.1);
     const { preferredRack } = task.need;
-    const far = preferredRack !== '' && !room.labels.includes(preferredRack) ? this.farFactor : 1;
-    const load = 1 - agent.free.cpuMilli / Math.max(1, room.capacity.cpuMilli);
-    const again = task.avoid.has(agent.id) ? 2 : 1;
+    const distance = preferredRack !== '' && !report.labels.includes(preferredRack) ? this.farFactor : 1;
+    const load = 1 - executor.free.cpuMilli / Math.max(1, report.capacity.cpuMilli);
+    const retry = task.avoid.has(executor.id) ? 2 : 1;
     const { estimateMs, resources } = task.need;
     const returnCost =
-      (agent.estimateRisk(resources, context.now) * context.returnMs * context.typicalSpeed) / estimateMs;
-    return slowness * far * again + returnCost + LOAD_WEIGHT * load + JITTER * context.nextRandom();
+      (executor.estimateRisk(resources, context.now) * context.returnMs * context.typicalSpeed) / estimateMs;
+    return slowness * distance * retry + returnCost + LOAD_WEIGHT * load + JITTER * context.nextRandom();
   }
 }
 
-/** As `SpeedPlacement`, and tasks of one job that start together go to few agents. */
+/** Like `SpeedPlacement`, but sends tasks of one job that start together to few executors. */
 export class GroupedPlacement extends SpeedPlacement {
-  protected override measurePreference({ job, avoid }: DispatchTask, { id }: ExecutorView): number {
-    return job.lastAgent === id && !avoid.has(id) ? TOGETHER_WORTH : 0;
+  protected override computeBonus({ job, avoid }: DispatchTask, { id }: ExecutorView): number {
+    return job.lastExecutorId === id && !avoid.has(id) ? SAME_JOB_BONUS : 0;
   }
 }
 
-/** As `GroupedPlacement`, and agents that prefer this dispatcher come first. */
+/** Like `GroupedPlacement`, but favors executors that prefer this dispatcher. */
 export class PreferredPlacement extends GroupedPlacement {
-  protected override measurePreference(task: DispatchTask, agent: ExecutorView): number {
-    return super.measurePreference(task, agent) + (agent.isHome ? HOME_WORTH : 0);
+  protected override computeBonus(task: DispatchTask, executor: ExecutorView): number {
+    return super.computeBonus(task, executor) + (executor.isHome ? PREFERRED_BONUS : 0);
   }
 }
 
 function isUsable(
   task: DispatchTask,
-  agent: ExecutorView,
+  executor: ExecutorView,
   { now, typicalSpeed, staleMs }: PlacementContext,
 ): boolean {
-  const { room } = agent;
-  if (!room || !agent.isReady(now, staleMs)) return false;
-  if (now < agent.pausedUntil || room.service !== task.job.submission.route.service) return false;
+  const { report } = executor;
+  if (!report || !executor.isReady(now, staleMs)) return false;
+  if (now < executor.pausedUntil || report.service !== task.job.submission.route.service) return false;
   const { requiredLabel } = task.need;
-  if (requiredLabel !== '' && !room.labels.includes(requiredLabel)) return false;
-  if (room.trust === 'suspect' || room.speed < typicalSpeed * SLOW_SHARE) return false;
-  if (room.trust === 'probation' && !isIdle(agent)) return false;
-  return fitResources(task.need.resources, agent.free);
+  if (requiredLabel !== '' && !report.labels.includes(requiredLabel)) return false;
+  if (report.trust === 'suspect' || report.speed < typicalSpeed * SLOW_SHARE) return false;
+  if (report.trust === 'probation' && !isIdle(executor)) return false;
+  return fitResources(task.need.resources, executor.free);
 }
 
-function isIdle({ room, unseenStarts }: ExecutorView): boolean {
-  return room !== undefined && unseenStarts === 0 && room.free.cpuMilli >= room.capacity.cpuMilli;
+function isIdle({ report, startsInFlight }: ExecutorView): boolean {
+  return report !== undefined && startsInFlight === 0 && report.free.cpuMilli >= report.capacity.cpuMilli;
 }
--- a/src/process/dispatcher/QueueShare.ts
+++ b/src/process/dispatcher/QueueShare.ts
@@ -1,50 +1,47 @@
-/** What one queue has had of the room, and may have. Work is in thousandths of a core times ms of estimates. */
+/** Used and available share of one queue. Work is in thousandths of a core times estimated ms. */
 import { RateMeter } from './RateMeter.js';
 
-/**
- * How much less of what it asks for a queue may claim with each step of priority: enough that it gives way first, little
- * enough that it is not served less than half as often.
- */
+/** Factor by which each priority step reduces the weight of a queue; small enough that no queue starves. */
 const WEIGHT_STEP = 1.25;
-/** Time over which a queue's arrivals are averaged, ms: a burst of seconds does not raise the share by much. */
-const ARRIVALS_MS = 10_000;
-/** Work that goes ahead of all shares, against the learnt arrivals: callers of an urgent queue may double for seconds. */
+/** Time constant of the arrival rate, ms; long enough that a burst of seconds hardly raises the share. */
+const ARRIVAL_WINDOW_MS = 10_000;
+/** Rate of work ahead of all shares, relative to the arrival rate: an urgent queue may double for seconds. */
 const HEADROOM_FACTOR = 2;
-/** Time for which headroom that was not used is kept, ms. */
+/** Time for which unused headroom accumulates, ms. */
 const HEADROOM_MS = 1_000;
 
-/** Share of one queue. */
+/** Share of one queue in the capacity. */
 export class QueueShare {
-  /** Virtual time at which the work that was sent is paid for. */
+  /** Virtual time up to which sent work is accounted for. */
   tag = 0;
-  private readonly arrivals = new RateMeter(ARRIVALS_MS);
+  private readonly arrivals = new RateMeter(ARRIVAL_WINDOW_MS);
   private headroom = 0;
-  private filledAt = 0;
+  private refilledAt = 0;
 
-  /** @param priority - of the queue; 0 goes first */
+  /** @param priority - priority of the queue; 0 is the most urgent */
   constructor(readonly priority: number) {}
 
-  /** Counts work that callers ask for. */
-  noteArrived(work: number, now: number): void {
+  /** Records the work of a new job. */
+  recordArrived(work: number, now: number): void {
     this.arrivals.add(work, now);
   }
 
-  /** Counts work that was sent; negative work was not run after all. */
-  noteServed(work: number, virtualTime: number, now: number): void {
+  /** Records sent work; negative for work that was returned without having run. */
+  recordServed(work: number, virtualTime: number, now: number): void {
     this.tag = Math.max(this.tag, virtualTime) + work / this.findWeight(now);
-    this.headroom = this.fillHeadroom(now) - work;
+    this.headroom = this.refillHeadroom(now) - work;
   }
 
-  /** Weight of the queue's share: the work that it usually asks for, and its priority. */
+  /** Finds the weight of the queue, from its arrival rate and its priority. */
   findWeight(now: number): number {
     return Math.max(1, this.arrivals.read(now)) * WEIGHT_STEP ** -this.priority;
   }
 
-  /** Work that may go ahead of all shares now. */
-  fillHeadroom(now: number): number {
+  /** Refills the headroom, and returns the work that may be placed ahead of all shares. */
+  refillHeadroom(now: number): number {
     const rate = this.arrivals.read(now) * HEADROOM_FACTOR;
-    this.headroom = Math.min(this.headroom + rate * (now - this.filledAt), rate * HEADROOM_MS);
-    this.filledAt = now;
+    this.headroom = Math.min(this.headroom + rate * (now - this.refilledAt), rate * HEADROOM_MS);
+    this.refilledAt = now;
     return this.headroom;
   }
 }
--- a/src/process/dispatcher/RateMeter.ts
+++ b/src/process/dispatcher/RateMeter.ts
@@ -1,30 +1,30 @@
-/** Part of the time constant that counts as observed at least: one amount by itself is no rate. */
-const LEAST_OBSERVED = 0.05;
+/** Minimum observed fraction of the average, so that a single amount does not appear as a high rate. */
+const MIN_OBSERVED_FRACTION = 0.05;
 
-/** A rate that is averaged over time, newer amounts weighing more. */
+/** Exponentially weighted average of a rate. */
 export class RateMeter {
   private rate = 0;
   private at = 0;
-  private begunAt: number | undefined;
+  private firstAt: number | undefined;
 
-  /** @param overMs - time constant of the average, ms */
-  constructor(private readonly overMs: number) {}
+  /** @param timeConstantMs - time constant of the average, ms */
+  constructor(private readonly timeConstantMs: number) {}
 
-  /** Counts an amount. */
+  /** Adds an amount. */
   add(amount: number, now: number): void {
-    this.begunAt ??= now;
-    this.rate = this.rate * this.decay(now - this.at) + amount / this.overMs;
+    this.firstAt ??= now;
+    this.rate = this.rate * this.decay(now - this.at) + amount / this.timeConstantMs;
     this.at = now;
   }
 
-  /** Amount per ms; over the time since the first amount while that is short. */
+  /** Reads the rate, per ms; initially averaged over the time since the first amount. */
   read(now: number): number {
-    if (this.begunAt === undefined) return 0;
-    const observed = Math.max(1 - this.decay(now - this.begunAt), LEAST_OBSERVED);
+    if (this.firstAt === undefined) return 0;
+    const observed = Math.max(1 - this.decay(now - this.firstAt), MIN_OBSERVED_FRACTION);
     return (this.rate * this.decay(now - this.at)) / observed;
   }
 
   private decay(ms: number): number {
-    return Math.exp(-ms / this.overMs);
+    return Math.exp(-ms / this.timeConstantMs);
   }
 }
--- a/src/process/dispatcher/createAdmission.test.ts
+++ b/src/process/dispatcher/createAdmission.test.ts
@@ -7,7 +7,7 @@
 import { DeadlineOrder } from './TaskOrder.js';
 
 describe('createAdmission and createTaskOrder', () => {
-  it('create the admission and the order that the settings name', () => {
+  it('create the configured admission and order', () => {
     expect(createAdmission({ admission: 'patience' }, () => 0)).to.be.instanceOf(CallerTimeoutAdmission);
     expect(createAdmission({ admission: 'forecast' }, () => 0)).to.be.instanceOf(ForecastAdmission);
     expect(createTaskOrder({ taskOrder: 'deadline' })).to.be.instanceOf(DeadlineOrder);
--- a/src/process/dispatcher/createAdmission.ts
+++ b/src/process/dispatcher/createAdmission.ts
@@ -3,11 +3,10 @@
 import type { Admission } from './Admission.js';
 
 /**
- * Creates the admission that the settings name.
+ * Creates the configured admission.
  *
- * @param settings - of the dispatcher
- * @param nextRandom - spreads the times at which callers come back
- * @returns the admission
+ * @param settings - settings of the dispatcher
+ * @param nextRandom - source of the retry jitter
  */
 export function createAdmission(
   { admission }: Pick<DispatchSettings, 'admission'>,
--- a/src/process/dispatcher/createPlacement.ts
+++ b/src/process/dispatcher/createPlacement.ts
@@ -3,10 +3,9 @@
 import type { Placement } from './Placement.js';
 
 /**
- * Creates the placement that the settings name.
+ * Creates the configured placement.
  *
- * @param settings - of the dispatcher
- * @returns the placement
+ * @param settings - settings of the dispatcher
  */
 export function createPlacement({
   placement,
--- a/src/process/dispatcher/createSendWindow.ts
+++ b/src/process/dispatcher/createSendWindow.ts
@@ -1,14 +1,13 @@
 import type { DispatchSettings } from '../settings/dispatchSettings.js';
-import { DelayWindow, LossWindow, OpenWindow } from './SendWindow.js';
+import { DelayWindow, LossWindow, UnboundedWindow } from './SendWindow.js';
 import type { SendWindow } from './SendWindow.js';
 
 /**
- * Creates the window that the settings name.
+ * Creates the configured send window.
  *
- * @param settings - of the dispatcher
- * @returns the window
+ * @param settings - settings of the dispatcher
  */
 export function createSendWindow({ sendWindow }: Pick<DispatchSettings, 'sendWindow'>): SendWindow {
-  if (sendWindow === 'open') return new OpenWindow();
+  if (sendWindow === 'open') return new UnboundedWindow();
   return sendWindow === 'loss' ? new LossWindow() : new DelayWindow();
 }
--- a/src/process/dispatcher/createTaskOrder.ts
+++ b/src/process/dispatcher/createTaskOrder.ts
@@ -4,10 +4,9 @@
 import type { TaskOrder } from './TaskOrder.js';
 
 /**
- * Creates the order that the settings name.
+ * Creates the configured task order.
  *
- * @param settings - of the dispatcher
- * @returns the order
+ * @param settings - settings of the dispatcher
  */
 export function createTaskOrder({ taskOrder }: Pick<DispatchSettings, 'taskOrder'>): TaskOrder {
   return taskOrder === 'fair' ? new FairOrder() : new DeadlineOrder();
--- a/src/process/dispatcher/dispatchJob.ts
+++ b/src/process/dispatcher/dispatchJob.ts
@@ -1,4 +1,4 @@
-/** A job at the entry that its caller is connected to, and its tasks. */
+/** A job at the dispatcher that its caller is connected to, and its tasks. */
 import { createMachine } from 'xstate';
 
 import { compileMachine, stepMachine } from '../../_lib/compileMachine.js';
@@ -6,15 +6,15 @@
 import type { Caller } from '../../ports/CallerGateway.js';
 import type { JobSubmission, StepNeed } from '../../request/dispatch/submission.js';
 
-/** Phase of a task at the entry. */
+/** Phase of a task at the dispatcher. */
 export type DispatchPhase = 'blocked' | 'waiting' | 'sent' | 'withdrawn' | 'done' | 'dropped';
 
-/** What can happen to it. */
+/** Event that changes the phase of a task. */
 export type DispatchEvent = 'release' | 'send' | 'return' | 'finish' | 'withdraw' | 'drop';
 
 /**
- * Life of a task at the entry. `withdrawn`: an agent was told to stop it, and may still run it. Only the agent's
- * result, or the certainty that nothing of it can run, leads out of `sent` and `withdrawn`.
+ * Life cycle of a task at the dispatcher. A `withdrawn` task may still run although its executor was ordered
+ * to stop it. A task leaves `sent` and `withdrawn` only when its attempt has ended or cannot run any more.
  */
 export const dispatchTaskMachine = createMachine({
   id: 'dispatchTask',
@@ -39,20 +39,20 @@
   readonly index: number;
   readonly need: StepNeed;
   phase: DispatchPhase;
-  /** Number of the newest attempt, counted over all jobs of the entry; 0 before the first. */
+  /** Number of the latest attempt, counted over all jobs of the dispatcher; 0 before the first. */
   attempt: number;
-  /** Attempts that ended `failed`. */
+  /** Number of attempts that ended `failed`. */
   failures: number;
-  /** Life of the agent that has the newest attempt. */
-  agent: string;
+  /** Id of the executor incarnation with the latest attempt. */
+  executorId: string;
   sentAt: number;
-  /** Whether the newest attempt was sent as a suspect, so that no other one is at its upstream. */
+  /** Whether the latest attempt was sent as a suspect, so that no other suspect runs at its upstream. */
   isIsolated: boolean;
-  /** Agents that have failed, lost or held up the task. */
+  /** Ids of executors that have failed, lost or delayed the task. */
   readonly avoid: Set<string>;
 }
 
-/** A job that lives as long as its caller waits. */
+/** A job, kept while its caller waits. */
 export interface DispatchJob {
   readonly id: string;
   readonly submission: JobSubmission;
@@ -60,47 +60,47 @@
   readonly arrivedAt: number;
   /** When the caller stops waiting, ms. */
   readonly deadlineAt: number;
-  /** When the answer begins to count as late, ms. */
+  /** Time after which the answer counts as late, ms. */
   readonly objectiveAt: number;
-  /** Lower goes first: the last moment to start in time, and the priority. */
+  /** Latest start in time, shifted by the priority; the lowest rank is first. */
   readonly rank: number;
   readonly tasks: DispatchTask[];
   /** Position in `tasks` of the first task of each step. */
   readonly stepOffsets: number[];
-  /** Tasks that are not done. */
-  left: number;
-  /** Tasks that may run somewhere: `sent` or `withdrawn`. */
-  out: number;
-  /** Whether an attempt may have run, so that "not run" would be untrue. */
+  /** Number of tasks that are not done. */
+  remaining: number;
+  /** Number of tasks that may run: `sent` or `withdrawn`. */
+  outstanding: number;
+  /** Whether an attempt may have run, so that the job cannot be reported as not run. */
   begun: boolean;
   /** Whether an attempt was ever sent. */
   offered: boolean;
-  /** Life of the agent that the newest attempt of any task went to; empty before the first. */
-  lastAgent: string;
+  /** Id of the executor incarnation with the latest attempt of any task; empty before the first. */
+  lastExecutorId: string;
   /** When that attempt was sent, ms. */
   lastSentAt: number;
   answered: boolean;
 }
 
 /**
- * Names the newest attempt of a task.
+ * Builds the name of the latest attempt of a task.
  *
  * @param task - the task
- * @returns its name between entry and agent
+ * @returns the name used between dispatcher and executor
  */
 export function buildAttemptName({ job, step, index, attempt }: DispatchTask): AttemptName {
   return { job: job.id, step, index, attempt };
 }
 
 /**
- * Computes the longest chain of work in a job.
+ * Computes the critical path of a job.
  *
- * @param steps - steps in order; `after` names earlier ones
- * @returns the time of the chain by the caller's estimates, ms
+ * @param steps - steps in order; `after` refers to earlier ones
+ * @returns the duration of the path by the caller's estimates, ms
  * @example
  * findChainMs([{ ...step, estimateMs: 80, after: [] }]); // 80
  */
-export function findChainMs(steps: readonly StepNeed[]): number {
+export function computeCriticalPathMs(steps: readonly StepNeed[]): number {
   const ends: number[] = [];
   for (const step of steps) {
     const begin = Math.max(0, ...step.after.map((earlier) => ends[earlier] ?? 0));
@@ -109,32 +109,32 @@
   return Math.max(0, ...ends);
 }
 
-/** Figures of the entry that a job's times depend on. */
+/** State of the dispatcher that the times of a job depend on. */
 export interface JobTiming {
   readonly now: number;
   /** Typical work per ms of the upstreams, in ms of estimates. */
   readonly typicalSpeed: number;
-  /** Weight of one step of priority, ms of rank. */
+  /** Rank difference of one priority step, ms. */
   readonly priorityStepMs: number;
 }
 
 /**
  * Creates a job that has just arrived.
  *
- * @param submission - what the caller sent
- * @param caller - who waits
- * @param timing - the moment and the entry's figures
- * @returns the job; tasks of steps that wait for none are `waiting`
+ * @param submission - submission of the caller
+ * @param caller - receives the answer
+ * @param timing - current time and state of the dispatcher
+ * @returns the job; tasks of steps without predecessors are `waiting`
  */
 export function createDispatchJob(
   submission: JobSubmission,
   caller: Caller,
   { now, typicalSpeed, priorityStepMs }: JobTiming,
 ): DispatchJob {
-  const chainMs = findChainMs(submission.steps) / typicalSpeed;
+  const criticalPathMs = computeCriticalPathMs(submission.steps) / typicalSpeed;
   const { stretch, targetLatencyMs, priority } = submission.route;
   const deadlineAt = now + submission.patienceMs;
-  const objectiveAt = Math.min(deadlineAt, now + stretch * chainMs + targetLatencyMs);
+  const objectiveAt = Math.min(deadlineAt, now + stretch * criticalPathMs + targetLatencyMs);
   const job: DispatchJob = {
     id: submission.id,
     submission,
@@ -142,14 +142,14 @@
     arrivedAt: now,
     deadlineAt,
     objectiveAt,
-    rank: objectiveAt - chainMs + priority * priorityStepMs,
+    rank: objectiveAt - criticalPathMs + priority * priorityStepMs,
     tasks: [],
     stepOffsets: [],
-    left: 0,
-    out: 0,
+    remaining: 0,
+    outstanding: 0,
     begun: false,
     offered: false,
-    lastAgent: '',
+    lastExecutorId: '',
     lastSentAt: -Infinity,
     answered: false,
   };
@@ -157,7 +157,7 @@
     job.stepOffsets.push(job.tasks.length);
     for (let index = 0; index < need.count; index += 1) job.tasks.push(createTask(job, need, step, index));
   });
-  job.left = job.tasks.length;
+  job.remaining = job.tasks.length;
   return job;
 }
 
@@ -171,7 +171,7 @@
     phase,
     attempt: 0,
     failures: 0,
-    agent: '',
+    executorId: '',
     sentAt: 0,
     isIsolated: false,
     avoid: new Set(),
@@ -193,32 +193,32 @@
 }
 
 /**
- * Tells whether an attempt of a task may run somewhere.
+ * Checks whether an attempt of a task may run.
  *
  * @param task - the task
  * @returns true from the sending of an attempt to its certain end
  */
-export function isOut({ phase }: DispatchTask): boolean {
+export function isOutstanding({ phase }: DispatchTask): boolean {
   return phase === 'sent' || phase === 'withdrawn';
 }
 
 /**
- * Measures a task by what it takes of a room.
+ * Computes the work of a task.
  *
  * @param task - the task
  * @returns its work by the caller's estimate, thousandths of a core times ms
  */
-export function measureWork({ need }: DispatchTask): number {
+export function computeTaskWork({ need }: DispatchTask): number {
   return need.resources.cpuMilli * need.estimateMs;
 }
 
 /**
- * Measures a job by what it takes of a room.
+ * Computes the work of a job.
  *
  * @param job - the job
  * @returns the work of all its tasks by the caller's estimates, thousandths of a core times ms
  */
-export function findWork({ submission }: DispatchJob): number {
+export function computeJobWork({ submission }: DispatchJob): number {
   return submission.steps.reduce(
     (sum, { count, resources, estimateMs }) => sum + count * resources.cpuMilli * estimateMs,
     0,
@@ -226,14 +226,14 @@
 }
 
 /**
- * Moves a task on, and keeps the count of attempts that are out.
+ * Applies an event to a task, and updates the job's count of outstanding tasks.
  *
  * @param task - the task
- * @param event - what happened
- * @throws InvariantError when the task's life has no such transition
+ * @param event - the event
+ * @throws InvariantError if the event is not allowed in the task's phase
  */
-export function stepTask(task: DispatchTask, event: DispatchEvent): void {
-  const before = isOut(task);
+export function transitionTask(task: DispatchTask, event: DispatchEvent): void {
+  const before = isOutstanding(task);
   task.phase = stepMachine(DISPATCH_TASK_TABLE, task.phase, event);
-  task.job.out += Number(isOut(task)) - Number(before);
+  task.job.outstanding += Number(isOutstanding(task)) - Number(before);
 }
--- a/src/process/dispatcher/dispatcherMetrics.ts
+++ b/src/process/dispatcher/dispatcherMetrics.ts
@@ -3,13 +3,13 @@
 
 const DURATION_BUCKETS_MS = [10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400];
 
-/** What the gauges read. */
+/** Sources of the gauges. */
 export interface DispatcherGauges {
   readonly readOpenJobs: () => number;
   readonly readWaitingTasks: () => number;
   readonly readWaitingByPriority: () => ReadonlyMap<string, number>;
   readonly readForecastCores: () => number;
-  readonly readAgents: () => number;
+  readonly readExecutors: () => number;
   readonly readSuspects: () => number;
   readonly readConfigurationVersion: () => number;
   readonly readEmptiedDomains: () => number;
@@ -19,7 +19,7 @@
 /**
  * Defines the metrics of a dispatcher.
  *
- * @param gauges - where gauges are read
+ * @param gauges - sources of the gauges
  * @returns definitions by name
  */
 export function buildDispatcherMetrics(gauges: DispatcherGauges): Readonly<Record<string, MetricDefinition>> {
@@ -58,7 +58,7 @@
       help: "Cores' worth of estimated work that the room was last expected to do; 0 while nothing is known",
       read: gauges.readForecastCores,
     },
-    dispatcher_agents: { kind: 'gauge', help: 'Agents with a link', read: gauges.readAgents },
+    dispatcher_agents: { kind: 'gauge', help: 'Agents with a link', read: gauges.readExecutors },
     dispatcher_suspects: {
       kind: 'gauge',
       help: 'Tasks under which upstreams have crashed of late',
@@ -82,13 +82,13 @@
   };
 }
 
-/** Queues of this priority or a less urgent one share a label. */
+/** Queues of this and of less urgent priorities share a label. */
 const LAST_PRIORITY = 3;
 
 /**
- * Describes a queue's priority as a label of which there are few.
+ * Describes a queue's priority as a label with few values.
  *
- * @param priority - 0 goes first
+ * @param priority - 0 is the most urgent
  * @returns '0' to '2', and '3+' for the others
  */
 export function describePriority(priority: number): string {
