--- a/src/process/dispatcher/findGiveUpReason.test.ts
+++ b/src/process/dispatcher/findGiveUpReason.test.ts
@@ -7,7 +7,7 @@
 import { findGiveUpReason } from './findGiveUpReason.js';
 
 const PATIENCE_MS = 1_000;
-/** Objective of the job: 1.6 times its work and 60 ms; an answer is of use for three times that. */
+/** An answer is useful for three times the job's objective: 1.6 times its work plus 60 ms. */
 const USEFUL_MS = 3 * (STEP.estimateMs * ROUTE.stretch + ROUTE.targetLatencyMs);
 
 function createJob(): DispatchJob {
@@ -16,20 +16,20 @@
 }
 
 describe('findGiveUpReason', () => {
-  it('keeps a job that can still be of use', () => {
+  it('keeps a job whose answer can still be useful', () => {
     expect(findGiveUpReason(createJob(), 0, 1)).to.equal(undefined);
     expect(findGiveUpReason(createJob(), 200, 1)).to.equal(undefined);
   });
 
-  it('gives up a job that nobody could take for a good part of its patience', () => {
+  it('gives up a job that no executor took for a large part of its caller timeout', () => {
     expect(findGiveUpReason(createJob(), PATIENCE_MS * 0.45, 1)).to.equal('no-room');
   });
 
-  it('gives up a job whose answer would be of no use any more', () => {
+  it('gives up a job whose answer would be useless', () => {
     expect(findGiveUpReason(createJob(), USEFUL_MS - STEP.estimateMs / 2, 1)).to.equal('cannot-finish');
   });
 
-  it('keeps a job that has begun until its caller stops waiting', () => {
+  it('keeps a job that has begun until its caller timeout', () => {
     const job = createJob();
     job.begun = true;
     for (const task of job.tasks) task.phase = 'sent';
@@ -37,7 +37,7 @@
     expect(findGiveUpReason(job, PATIENCE_MS - 10, 1)).to.equal('deadline');
   });
 
-  it('gives up a job, begun or not, of which a task waits that cannot end before its caller stops waiting', () => {
+  it('gives up a job with a waiting task that cannot end before the caller timeout', () => {
     const job = createJob();
     job.begun = true;
     expect(findGiveUpReason(job, PATIENCE_MS - 120, 1)).to.equal(undefined);
--- a/src/process/dispatcher/needsMove.test.ts
+++ b/src/process/dispatcher/needsMove.test.ts
@@ -19,17 +19,17 @@
 describe('needsMove', () => {
   const task = createTask();
 
-  it('moves what stands still, also where it could still be in time', () => {
+  it('moves a stalled task, even if it could still end in time', () => {
     expect(needsMove(task, { name: NAME, percent: 90, stalledMs: 161 }, 1, 1, 100)).to.equal(true);
     expect(needsMove(task, { name: NAME, percent: 90, stalledMs: 159 }, 1, 1, 100)).to.equal(false);
   });
 
-  it('moves what crawls and would be late, not what crawls and is nearly done', () => {
+  it('moves a slow task that would be late, but not one that is nearly done', () => {
     expect(needsMove(task, { name: NAME, percent: 10, stalledMs: 0 }, 0.2, 1, 100)).to.equal(true);
     expect(needsMove(task, { name: NAME, percent: 90, stalledMs: 0 }, 0.2, 1, 100)).to.equal(false);
   });
 
-  it('moves nothing that cannot be done again before its caller stops waiting', () => {
+  it('moves no task that cannot be repeated before the caller timeout', () => {
     expect(needsMove(task, { name: NAME, percent: 10, stalledMs: 500 }, 0.2, 1, 950)).to.equal(false);
   });
 });
--- a/src/process/dispatcher/needsMove.ts
+++ b/src/process/dispatcher/needsMove.ts
@@ -2,23 +2,24 @@
 import type { DispatchTask } from './dispatchJob.js';
 import { SLOW_SHARE } from './Placement.js';
 
-/** When an upstream's tasks are moved: no progress for so long, ms, and for this part of the estimate. */
+/** Stall timeout: the larger of this time, ms, and this fraction of the estimate. */
 const STALL_MIN_MS = 160;
-const STALL_PART = 0.25;
-/** A move must save at least this, ms. */
+const STALL_FRACTION = 0.25;
+/** Minimum time that a move must save, ms. */
 const MOVE_GAIN_MS = 60;
-/** Slowest speed that is reckoned with, as a share of the typical one. */
-const STANDSTILL_SHARE = 0.02;
+/** Lower bound of the speed used in estimates, as a fraction of the typical speed. */
+const MIN_SPEED_SHARE = 0.02;
 
 /**
- * Tells whether a running task is better begun anew elsewhere: it stands still, or it crawls and would be late.
+ * Checks whether a running task should be restarted elsewhere: it is stalled, or it is slow and would be
+ * late.
  *
  * @param task - the task
- * @param progress - what its agent told of it
- * @param speed - of its upstream, work per ms in ms of estimates
- * @param typicalSpeed - of all upstreams
+ * @param progress - progress reported by its executor
+ * @param speed - speed of its upstream, in ms of estimates per ms
+ * @param typicalSpeed - typical speed of all upstreams, same unit
  * @param now - monotonic time, ms
- * @returns true if a move can help; whether there is another place is not looked at
+ * @returns true if a move would help; whether another executor is available is not checked
  */
 export function needsMove(
   task: DispatchTask,
@@ -29,9 +30,9 @@
 ): boolean {
   const estimateMs = task.need.estimateMs / typicalSpeed;
   if (now + estimateMs > task.job.deadlineAt) return false;
-  if (stalledMs > Math.max(STALL_MIN_MS, estimateMs * STALL_PART)) return true;
-  const reckonedSpeed = Math.max(speed, typicalSpeed * STANDSTILL_SHARE);
-  const leftMs = (task.need.estimateMs * (1 - percent / 100)) / reckonedSpeed;
+  if (stalledMs > Math.max(STALL_MIN_MS, estimateMs * STALL_FRACTION)) return true;
+  const effectiveSpeed = Math.max(speed, typicalSpeed * MIN_SPEED_SHARE);
+  const leftMs = (task.need.estimateMs * (1 - percent / 100)) / effectiveSpeed;
   if (now + leftMs <= task.job.objectiveAt) return false;
-  return reckonedSpeed < typicalSpeed * SLOW_SHARE && leftMs > estimateMs + MOVE_GAIN_MS;
+  return effectiveSpeed < typicalSpeed * SLOW_SHARE && leftMs > estimateMs + MOVE_GAIN_MS;
 }
--- a/test/congestion.test.ts
+++ b/test/congestion.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 
 import { runCongestion, TRIGGER_UNTIL_MS } from './fakes/CongestionModel.js';
-import { DelayWindow, LossWindow, OpenWindow } from '../src/process/dispatcher/SendWindow.js';
+import { DelayWindow, LossWindow, UnboundedWindow } from '../src/process/dispatcher/SendWindow.js';
 import type { SendWindow } from '../src/process/dispatcher/SendWindow.js';
 import type { CongestionPlay } from './fakes/CongestionModel.js';
 
@@ -50,6 +50,6 @@
   });
 
   it('do not without a window, which the model must show', () => {
-    expect(listDown(() => new OpenWindow())).to.have.length.greaterThan(5);
+    expect(listDown(() => new UnboundedWindow())).to.have.length.greaterThan(5);
   });
 });
--- a/test/fakes/CapacityModel.ts
+++ b/test/fakes/CapacityModel.ts
@@ -114,7 +114,7 @@
     this.dispatcher = new Dispatcher(options, {
       send: (agent, message) => this.send(agent, message),
       log: () => undefined,
-      noteOutcome: () => undefined,
+      recordOutcome: () => undefined,
     });
   }
 
--- a/test/fakes/CongestionModel.ts
+++ b/test/fakes/CongestionModel.ts
@@ -114,7 +114,7 @@
       {
         send: (id, message) => this.send(id, message),
         log: () => undefined,
-        noteOutcome: () => undefined,
+        recordOutcome: () => undefined,
       },
     );
     for (let number = 0; number < AGENTS; number += 1) {
--- a/test/fakes/CrashModel.ts
+++ b/test/fakes/CrashModel.ts
@@ -7,7 +7,7 @@
 import type { AttemptEnd, DispatcherMessage, StartOrder } from '../../src/connection/peer/peerMessages.js';
 import { Dispatcher } from '../../src/process/dispatcher/Dispatcher.js';
 import { PreferredPlacement } from '../../src/process/dispatcher/Placement.js';
-import { OpenWindow } from '../../src/process/dispatcher/SendWindow.js';
+import { UnboundedWindow } from '../../src/process/dispatcher/SendWindow.js';
 import { JobBounds } from '../../src/request/dispatch/JobBounds.js';
 import type { JobOutcome, StepNeed } from '../../src/request/dispatch/submission.js';
 import { ROUTE, STEP, WIDE_LIMITS } from './dispatchFixtures.js';
@@ -176,7 +176,7 @@
     if (this.now % PING_MS === 0) for (const upstream of this.upstreams) this.ping(entry, upstream);
     if (this.now % TICK_MS === 0) dispatcher.tick(this.now);
     dispatcher.place(this.now);
-    const news = dispatcher.suspects.takeNews();
+    const news = dispatcher.suspects.takeUpdates();
     if (news.length === 0) return;
     for (const other of this.entries)
       if (other !== entry) this.at(WAY_MS, () => void other.dispatcher.adoptSuspects(news, this.now));
@@ -291,7 +291,7 @@
       {
         pingMs: PING_MS,
         placement: new PreferredPlacement(1),
-        window: new OpenWindow(),
+        window: new UnboundedWindow(),
         bounds: new JobBounds(WIDE_LIMITS),
         crashLimit: this.play.crashLimit,
         nextRandom: this.nextRandom,
@@ -299,7 +299,7 @@
       {
         send: (agent, message) => this.send(number, life, agent, message),
         log: (event, fields) => void this.events.push(`${event} ${JSON.stringify(fields)}`),
-        noteOutcome: () => undefined,
+        recordOutcome: () => undefined,
       },
     );
   }
--- a/test/fakes/DispatchWorld.ts
+++ b/test/fakes/DispatchWorld.ts
@@ -478,7 +478,7 @@
           }
         },
         log: () => undefined,
-        noteOutcome: () => undefined,
+        recordOutcome: () => undefined,
       },
     );
     const exchange = new OperatorExchange({
--- a/test/fakes/ScarceCapacityModel.ts
+++ b/test/fakes/ScarceCapacityModel.ts
@@ -14,7 +14,7 @@
 import type { Admission } from '../../src/process/dispatcher/Admission.js';
 import { Dispatcher } from '../../src/process/dispatcher/Dispatcher.js';
 import { SpeedPlacement } from '../../src/process/dispatcher/Placement.js';
-import { OpenWindow } from '../../src/process/dispatcher/SendWindow.js';
+import { UnboundedWindow } from '../../src/process/dispatcher/SendWindow.js';
 import type { TaskOrder } from '../../src/process/dispatcher/TaskOrder.js';
 import { JobBounds } from '../../src/request/dispatch/JobBounds.js';
 import type { JobOutcome } from '../../src/request/dispatch/submission.js';
@@ -150,7 +150,7 @@
         pingMs: PING_MS,
         bounds: new JobBounds(WIDE_LIMITS),
         placement: new SpeedPlacement(1),
-        window: new OpenWindow(),
+        window: new UnboundedWindow(),
         nextRandom: createRandom(play.seed + 1),
         ...(play.createOrder ? { order: play.createOrder() } : {}),
         ...(play.createAdmission ? { admission: play.createAdmission() } : {}),
@@ -158,7 +158,7 @@
       {
         send: (id, message) => this.handleOrder(id, message),
         log: () => undefined,
-        noteOutcome: () => undefined,
+        recordOutcome: () => undefined,
       },
     );
     for (let number = 0; number < AGENTS; number += 1) {
--- a/test/suspendedVms.test.ts
+++ b/test/suspendedVms.test.ts
@@ -205,7 +205,7 @@
     const caller = new FakeCaller();
     const dispatcher = new Dispatcher(
       { pingMs: PING_MS, ...createPolicies(), nextRandom: () => 0.5 },
-      { send: () => undefined, log: () => undefined, noteOutcome: () => undefined },
+      { send: () => undefined, log: () => undefined, recordOutcome: () => undefined },
     );
     const guard = new PauseGuard(vm.now(), (gapMs) => {
       if (gapMs > ORPHAN_AFTER_MS) dispatcher.endAll('paused', vm.now());
