--- a/test/roomByDemand.test.ts
+++ b/test/capacityByDemand.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
 
 import { CapacityModel } from './fakes/CapacityModel.js';
-import type { RoomCount, RoomPlay } from './fakes/CapacityModel.js';
+import type { CapacityCounts, CapacityScenario } from './fakes/CapacityModel.js';
 
 const SEED = 20261203;
-const WAY_MS = 1;
+const TRANSIT_MS = 1;
 /** The peak, in parts of the room. */
 const PEAK = 0.95;
 /** Starts that may come back at the peak. */
@@ -12,24 +12,24 @@
 /** Part of the jobs that may be late or lost beyond those of the whole room told to all, which uses the room at once. */
 const ROUND_TRIP_LOSS = 0.06;
 
-async function play(change: Partial<RoomPlay>): Promise<RoomCount> {
-  const base = { load: PEAK, wayMs: WAY_MS, seed: SEED, playMs: 5_000, countFromMs: 1_500 };
+async function play(change: Partial<CapacityScenario>): Promise<CapacityCounts> {
+  const base = { load: PEAK, transitMs: TRANSIT_MS, seed: SEED, durationMs: 5_000, countFromMs: 1_500 };
   return new CapacityModel({ ...base, sharing: 'demand', ...change }).run();
 }
 
-function readReturned({ full, starts }: RoomCount): number {
+function readReturned({ full, starts }: CapacityCounts): number {
   return full / starts;
 }
 
-function readInTime({ inTime, submitted }: RoomCount): number {
+function readInTime({ inTime, submitted }: CapacityCounts): number {
   return inTime / submitted;
 }
 
 describe('dispatchers that compete for the room of executors', function () {
   this.timeout(120_000);
 
-  let open: RoomCount;
-  let divided: RoomCount;
+  let open: CapacityCounts;
+  let divided: CapacityCounts;
 
   before(async () => {
     open = await play({ sharing: 'open' });
@@ -41,9 +41,9 @@
   });
 
   it('get few back where room is divided by demand, from 0.5 to 3 ms one way', async () => {
-    for (const wayMs of [0.5, WAY_MS, 3]) {
-      const count = wayMs === WAY_MS ? divided : await play({ wayMs });
-      expect(readReturned(count), `${wayMs} ms`).to.be.lessThan(RETURNED);
+    for (const transitMs of [0.5, TRANSIT_MS, 3]) {
+      const count = transitMs === TRANSIT_MS ? divided : await play({ transitMs });
+      expect(readReturned(count), `${transitMs} ms`).to.be.lessThan(RETURNED);
     }
   });
 
@@ -63,7 +63,7 @@
   });
 
   it('that tell no demand get the same as with `open`', async () => {
-    const earlier = await play({ earlier: 8 });
+    const earlier = await play({ earlierDispatchers: 8 });
     expect(earlier.full).to.equal(open.full);
     expect(earlier.completed).to.equal(open.completed);
   });
@@ -84,18 +84,21 @@
   }
 
   const failures: [string, (model: CapacityModel) => void][] = [
-    ['dies', ({ entries, agents }) => agents.forEach((agent) => endEntry(entries[0], agent))],
-    ['freezes', ({ entries: [first] }) => first && (first.state = 'frozen')],
-    ['is cut off', ({ entries: [first] }) => first && (first.isCut = true)],
+    [
+      'dies',
+      ({ dispatchers, executors }) => executors.forEach((executor) => endEntry(dispatchers[0], executor)),
+    ],
+    ['freezes', ({ dispatchers: [first] }) => first && (first.state = 'frozen')],
+    ['is cut off', ({ dispatchers: [first] }) => first && (first.isCut = true)],
   ];
 
   function endEntry(
-    entry: CapacityModel['entries'][number] | undefined,
-    agent: CapacityModel['agents'][number],
+    dispatcher: CapacityModel['dispatchers'][number] | undefined,
+    executor: CapacityModel['executors'][number],
   ): void {
-    if (!entry) return;
-    entry.state = 'dead';
-    agent.unlink(entry);
+    if (!dispatcher) return;
+    dispatcher.state = 'dead';
+    executor.unlink(dispatcher);
   }
 
   for (const [what, run] of failures) {
@@ -106,17 +109,17 @@
 
   it('is used when executors restart, shrink or are emptied', async () => {
     const idle = await measureIdle((model) => {
-      model.agents[0]?.end();
-      model.addAgent(0, 2);
-      model.agents[1]?.report({ cpuMilli: 5_000, memoryMb: 65_536, gpus: 0 });
-      for (const { index } of model.entries) model.entries[index]?.dispatcher.setEmptied(['b']);
-      for (const agent of model.agents) if (agent.domain === 'b') agent.setEmptied();
+      model.executors[0]?.end();
+      model.addExecutor(0, 2);
+      model.executors[1]?.report({ cpuMilli: 5_000, memoryMb: 65_536, gpus: 0 });
+      for (const { index } of model.dispatchers) model.dispatchers[index]?.core.setEmptied(['b']);
+      for (const executor of model.executors) if (executor.domain === 'b') executor.setEmptied();
     });
     expect(idle).to.be.lessThan(0.08);
   });
 
   it('leads to few returned starts when demand is 1.5 times the room', async () => {
-    const count = await play({ load: 1.5, countFromMs: 500, playMs: 4_000 });
+    const count = await play({ load: 1.5, countFromMs: 500, durationMs: 4_000 });
     expect(readReturned(count)).to.be.lessThan(RETURNED);
   });
 });
--- a/test/changingRoom.test.ts
+++ b/test/changingCapacity.test.ts
@@ -23,7 +23,7 @@
   afterEach(async () => {
     await bench.stop();
     expect(bench.doubled).to.deep.equal([]);
-    expect(bench.beyondRoom).to.deep.equal([]);
+    expect(bench.beyondCapacity).to.deep.equal([]);
   });
 
   /** Has the upstream say that it has room for so many tasks, and waits until its executor has taken note. */
@@ -41,9 +41,9 @@
 
   /** Submits a wide job and counts the tasks that were at work at once. */
   async function countAtOnce(job: string): Promise<number> {
-    bench.mostAtOnce = 0;
+    bench.maxRunning = 0;
     expect((await bench.submit('entry-1', job, WIDE, TASK_MS)).status).to.equal(200);
-    return bench.mostAtOnce;
+    return bench.maxRunning;
   }
 
   it('gets no more than it has room for, and all that fits once it has grown again', async () => {
--- a/test/configurationLinks.test.ts
+++ b/test/configurationLinks.test.ts
@@ -110,7 +110,7 @@
 
 describe('a large configuration on real links', function () {
   this.timeout(60_000);
-  let entry: Entry;
+  let dispatcher: Entry;
   let proxy: LoopbackProxy;
   let links: DispatcherLinks;
   let timer: NodeJS.Timeout;
@@ -119,8 +119,8 @@
   /** Opens an executor whose one link, of so many Mbit/s, passes a proxy. */
   async function open(mbps: number): Promise<void> {
     logged = [];
-    entry = new Entry(mbps);
-    proxy = new LoopbackProxy(HOST, 0, HOST, await entry.start(0));
+    dispatcher = new Entry(mbps);
+    proxy = new LoopbackProxy(HOST, 0, HOST, await dispatcher.start(0));
     proxy.setRate(mbps);
     const linkPort = await proxy.start();
     const fleet = { maxLinks: 3, smallFleet: 6, linkPort };
@@ -132,14 +132,14 @@
       links.ping();
       links.keep();
     }, PING_MS / 3);
-    await waitFor(() => entry.received.some(({ type }) => type === 'ping'));
+    await waitFor(() => dispatcher.received.some(({ type }) => type === 'ping'));
   }
 
   afterEach(async () => {
     clearInterval(timer);
     links.stop();
     proxy.stop();
-    await entry.stop();
+    await dispatcher.stop();
   });
 
   async function waitFor(holds: () => boolean): Promise<void> {
@@ -147,19 +147,19 @@
   }
 
   function countRequests(): number {
-    return entry.received.filter(({ type }) => type === 'configuration-request').length;
+    return dispatcher.received.filter(({ type }) => type === 'configuration-request').length;
   }
 
   it('is kept by an executor on a thin link, and given back to a dispatcher that has lost it', async () => {
     await open(2);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => links.services?.has('service-of-7') ?? false);
     expect(links.keptVersion).to.equal(-1);
     await waitFor(() => links.keptVersion === 7);
     expect(logged).to.not.include('entry-unlinked');
     expect(logged).to.include.members(['services-known', 'configuration-kept']);
     const { exchange } = new Entry(2);
-    entry.exchange = exchange;
+    dispatcher.exchange = exchange;
     await waitFor(() => exchange.configuration?.version === 7);
     expect(exchange.configuration).to.deep.equal(createConfiguration(7));
     expect(logged).to.not.include('entry-unlinked');
@@ -167,12 +167,12 @@
 
   it('is fetched on after the link broke in the middle', async () => {
     await open(2);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => countRequests() > 5);
     const before = countRequests();
     proxy.resetAll();
     await waitFor(() => links.keptVersion === 7);
-    const [next] = entry.received.filter(({ type }) => type === 'configuration-request').slice(before);
+    const [next] = dispatcher.received.filter(({ type }) => type === 'configuration-request').slice(before);
     expect(next).to.include({ version: 7 });
     expect((next as { position: number }).position, 'what had come is kept').to.be.greaterThan(0);
     expect(logged).to.include('entry-unlinked');
@@ -180,18 +180,18 @@
 
   it('is fetched on after the link went silent in the middle', async () => {
     await open(2);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => countRequests() > 5);
-    proxy.silenceOpen();
+    proxy.silenceConnections();
     await waitFor(() => links.keptVersion === 7);
-    expect(entry.hellos).to.equal(2);
+    expect(dispatcher.hellos).to.equal(2);
   });
 
   it('is superseded in the middle by a newer one', async () => {
     await open(2);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => countRequests() > 5);
-    entry.exchange.adoptConfiguration(createConfiguration(9), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(9), 'store');
     await waitFor(() => links.services?.has('service-of-9') ?? false);
     await waitFor(() => links.keptVersion === 9);
     expect(logged.filter((event) => event === 'configuration-kept')).to.have.length(1);
@@ -199,20 +199,20 @@
 
   it('is taken whole from a dispatcher of the version before, whose link is not given up meanwhile', async () => {
     await open(4);
-    entry.isOld = true;
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.isOld = true;
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => links.keptVersion === 7);
     expect(links.services?.has('service-of-7')).to.equal(true);
-    expect(entry.hellos).to.equal(1);
+    expect(dispatcher.hellos).to.equal(1);
   });
 
   it('is told whole to a dispatcher of the version before', async () => {
     await open(17.5);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => links.keptVersion === 7);
-    entry.asksWhole = true;
-    await waitFor(() => entry.received.some(({ type }) => type === 'configuration'));
-    const notice = entry.received.find(({ type }) => type === 'configuration');
+    dispatcher.asksWhole = true;
+    await waitFor(() => dispatcher.received.some(({ type }) => type === 'configuration'));
+    const notice = dispatcher.received.find(({ type }) => type === 'configuration');
     expect(notice).to.deep.equal({ type: 'configuration', configuration: createConfiguration(7) });
   });
 });
--- a/test/congestion.test.ts
+++ b/test/congestion.test.ts
@@ -3,7 +3,7 @@
 import { runCongestion, TRIGGER_UNTIL_MS } from './fakes/CongestionModel.js';
 import { DelayWindow, LossWindow, OpenWindow } from '../src/process/dispatcher/SendWindow.js';
 import type { SendWindow } from '../src/process/dispatcher/SendWindow.js';
-import type { CongestionPlay } from './fakes/CongestionModel.js';
+import type { CongestionScenario } from './fakes/CongestionModel.js';
 
 /** Time after which what is served is back, ms, and the share of what is asked that counts as back. */
 const RECOVERY_MS = 2_000;
@@ -16,7 +16,7 @@
 /** Dispatchers have links of their own; with more of them more is drawn at random. */
 const DISPATCHERS = [1, 3, 35];
 
-function listPlays(createWindow: () => SendWindow): CongestionPlay[] {
+function listPlays(createWindow: () => SendWindow): CongestionScenario[] {
   const loads = { load: 0.7, triggerLoad: 1.5, seed: SEED, createWindow };
   const alone = RATES_MBPS.flatMap((mbps) =>
     BODIES.map((bodyBytes) => ({ mbps, bodyBytes, dispatchers: 1, ...loads })),
@@ -32,10 +32,10 @@
 
   /** Plays after which less is served than the links carry. */
   function listDown(createWindow: () => SendWindow): string[] {
-    return listPlays(createWindow).flatMap((play) => {
-      const back = runCongestion(play).slice((TRIGGER_UNTIL_MS + RECOVERY_MS) / 1_000);
+    return listPlays(createWindow).flatMap((scenario) => {
+      const back = runCongestion(scenario).slice((TRIGGER_UNTIL_MS + RECOVERY_MS) / 1_000);
       const shares = back.slice(0, -1).map(({ submitted, completed }) => completed / submitted);
-      const { mbps, bodyBytes, dispatchers } = play;
+      const { mbps, bodyBytes, dispatchers } = scenario;
       const what = `${mbps} Mbit/s, ${bodyBytes} bytes, ${dispatchers} dispatchers: ${shares.join()}`;
       return shares.every((share) => share >= BACK_SHARE) ? [] : [what];
     });
--- a/test/evacuation.test.ts
+++ b/test/evacuation.test.ts
@@ -29,7 +29,7 @@
 
   /** Starts in `north` so far. */
   function countNorth(): number {
-    return (bench.startsAt.get('i-1') ?? 0) + (bench.startsAt.get('i-2') ?? 0);
+    return (bench.startsByRunner.get('i-1') ?? 0) + (bench.startsByRunner.get('i-2') ?? 0);
   }
 
   /** Empties `north` and waits until every daemon has logged it. */
--- a/test/fakes/AddressUpstreamApi.ts
+++ b/test/fakes/AddressUpstreamApi.ts
@@ -13,21 +13,21 @@
 
 /** Each order reaches the life that is there when it is sent. */
 export class AddressUpstreamApi extends UpstreamApi {
-  /** @param findLife - the life that is there now */
-  constructor(private readonly findLife: () => FakeUpstream) {
+  /** @param findIncarnation - the life that is there now */
+  constructor(private readonly findIncarnation: () => FakeUpstream) {
     super();
   }
 
   override start(order: RunStart, timeoutMs: number): Promise<OrderAnswer<StartVerdict>> {
-    return this.findLife().start(order, timeoutMs);
+    return this.findIncarnation().start(order, timeoutMs);
   }
 
   override stop(name: RunName, fencingToken: number, timeoutMs: number): Promise<OrderAnswer<StopVerdict>> {
-    return this.findLife().stop(name, fencingToken, timeoutMs);
+    return this.findIncarnation().stop(name, fencingToken, timeoutMs);
   }
 
   override renew(renewal: LeaseRenewal, timeoutMs: number): Promise<LeaseAnswer> {
-    return this.findLife().renew(renewal, timeoutMs);
+    return this.findIncarnation().renew(renewal, timeoutMs);
   }
 
   override close(): void {
--- a/test/fakes/CapacityModel.ts
+++ b/test/fakes/CapacityModel.ts
@@ -17,7 +17,7 @@
 import type { DispatcherMessage } from '../../src/connection/peer/peerMessages.js';
 import { ROUTE, STEP, WIDE_LIMITS } from './dispatchFixtures.js';
 import { CapacityModelExecutor } from './CapacityModelExecutor.js';
-import type { AgentMessage, ModelLink } from './CapacityModelExecutor.js';
+import type { ModelExecutorMessage, ModelLink } from './CapacityModelExecutor.js';
 import { VirtualTime } from './VirtualTime.js';
 
 const DISPATCHERS = 8;
@@ -44,31 +44,31 @@
 const PERIOD_MS = 17_000;
 const PHASE_MS = 1_400;
 /** Part of a failure domain's callers that its first dispatcher gets. */
-const UNEVEN = 0.65;
-const PATIENCE_MS = 1_528;
+const FIRST_DISPATCHER_SHARE = 0.65;
+const CALLER_TIMEOUT_MS = 1_528;
 const TARGET_LATENCY_MS = 61;
 const TICK_MS = 40;
 const TIMES = deriveDispatchTimes({ resubmitMs: 1_300, maxLeaseMs: 1_000 } as DispatchSettings);
 
 /** What is played. */
-export interface RoomPlay {
+export interface CapacityScenario {
   readonly sharing: CapacitySharingKind;
   /** Work that is asked for at the peak of all domains together, as a share of the room. */
   readonly load: number;
   /** One way between dispatcher and executor, ms. */
-  readonly wayMs: number;
+  readonly transitMs: number;
   readonly seed: number;
   /** How long is played, and from when on is counted, ms; the peak is in the middle of what is counted. */
-  readonly playMs: number;
+  readonly durationMs: number;
   readonly countFromMs: number;
   /** Number of dispatchers that are of the version before: they tell no demand. */
-  readonly earlier?: number;
+  readonly earlierDispatchers?: number;
   /** What happens, by when, ms. */
   readonly events?: readonly { readonly at: number; readonly run: (model: CapacityModel) => void }[];
 }
 
 /** What came of it. */
-export interface RoomCount {
+export interface CapacityCounts {
   starts: number;
   /** Starts that came back as `full`. */
   full: number;
@@ -76,7 +76,7 @@
   completed: number;
   inTime: number;
   /** Messages of room, pings and echoes not counted, and bytes of all control messages. */
-  roomMessages: number;
+  capacityMessages: number;
   controlMessages: number;
   controlBytes: number;
   /** Of the steps: mean share of the room that is free while tasks wait at a dispatcher that is linked to it. */
@@ -85,25 +85,25 @@
 }
 
 /** A dispatcher of the model. */
-export class ModelEntry {
-  readonly dispatcher: Dispatcher;
-  readonly life: string;
+export class ModelDispatcher {
+  readonly core: Dispatcher;
+  readonly incarnation: string;
   readonly links = new Map<string, ModelLink>();
   /** A dispatcher that is frozen takes messages when it wakes; one that is dead takes none. */
   state: 'live' | 'frozen' | 'dead' = 'live';
   /** Whether its messages are lost on their way, both ways. */
   isCut = false;
   readonly inbox: (() => void)[] = [];
-  private demandToldAt = -Infinity;
+  private demandSentAt = -Infinity;
   private readonly demandLinks = new Set<string>();
 
   constructor(
     readonly index: number,
-    private readonly play: RoomPlay,
+    private readonly scenario: CapacityScenario,
     private readonly model: CapacityModel,
     nextRandom: () => number,
   ) {
-    this.life = `e${index}@1`;
+    this.incarnation = `e${index}@1`;
     const options = {
       pingMs: TIMES.pingMs,
       bounds: new JobBounds(WIDE_LIMITS),
@@ -111,8 +111,8 @@
       window: new DelayWindow(),
       nextRandom,
     };
-    this.dispatcher = new Dispatcher(options, {
-      send: (agent, message) => this.send(agent, message),
+    this.core = new Dispatcher(options, {
+      send: (executor, message) => this.send(executor, message),
       log: () => undefined,
       noteOutcome: () => undefined,
     });
@@ -127,62 +127,62 @@
   }
 
   /** Takes a message of an executor. */
-  receive(agent: string, message: AgentMessage): void {
+  receive(executor: string, message: ModelExecutorMessage): void {
     if (this.state === 'dead') return;
-    if (this.state === 'frozen') return void this.inbox.push(() => this.receive(agent, message));
+    if (this.state === 'frozen') return void this.inbox.push(() => this.receive(executor, message));
     const now = this.model.time.now();
-    if (message.type === 'agent-hello') return void this.dispatcher.handleHello(message, this.life, now);
+    if (message.type === 'agent-hello') return void this.core.handleHello(message, this.incarnation, now);
     if (message.type === 'ping') {
-      const { waitingTasks, waitingCpuMilli, typicalSpeed } = this.dispatcher;
+      const { waitingTasks, waitingCpuMilli, typicalSpeed } = this.core;
       const isWaiting = waitingTasks > 0;
       const pong = { type: 'pong', at: message.at, version: 1, typicalSpeed, isWaiting } as const;
-      const needsDemand = isWaiting || !this.demandLinks.has(agent);
-      this.demandLinks.add(agent);
-      this.send(agent, this.isEarlier || !needsDemand ? pong : { ...pong, waitingCpuMilli });
-      this.dispatcher.handlePing(agent, message, now);
+      const needsDemand = isWaiting || !this.demandLinks.has(executor);
+      this.demandLinks.add(executor);
+      this.send(executor, this.isEarlier || !needsDemand ? pong : { ...pong, waitingCpuMilli });
+      this.core.handlePing(executor, message, now);
     }
-    if (message.type === 'room') this.dispatcher.handleCapacity(agent, message, now);
-    if (message.type === 'result') this.dispatcher.handleResult(agent, message, now);
+    if (message.type === 'room') this.core.handleCapacity(executor, message, now);
+    if (message.type === 'result') this.core.handleResult(executor, message, now);
   }
 
   /** Does what a turn of the daemon's loop does. */
   step(now: number): void {
     if (this.state !== 'live') return;
-    if (now % TICK_MS === 0) this.dispatcher.tick(now);
-    if (this.dispatcher.waitingTasks === 0) return;
-    this.dispatcher.place(now);
-    if (this.dispatcher.waitingTasks === 0 || now - this.demandToldAt < TIMES.pingMs) return;
-    this.demandToldAt = now;
-    const { waitingCpuMilli } = this.dispatcher;
+    if (now % TICK_MS === 0) this.core.tick(now);
+    if (this.core.waitingTasks === 0) return;
+    this.core.place(now);
+    if (this.core.waitingTasks === 0 || now - this.demandSentAt < TIMES.pingMs) return;
+    this.demandSentAt = now;
+    const { waitingCpuMilli } = this.core;
     const notice = { type: 'demand', waitingCpuMilli: this.isEarlier ? undefined : waitingCpuMilli } as const;
     for (const id of this.links.keys()) this.send(id, notice);
   }
 
   private get isEarlier(): boolean {
-    return this.index < (this.play.earlier ?? 0);
+    return this.index < (this.scenario.earlierDispatchers ?? 0);
   }
 
-  private send(agent: string, message: DispatcherMessage): void {
-    if (message.type === 'start') this.model.note('starts');
-    else if (message.type !== 'stop') this.model.noteControl(message);
-    const link = this.links.get(agent);
+  private send(executor: string, message: DispatcherMessage): void {
+    if (message.type === 'start') this.model.recordStart('starts');
+    else if (message.type !== 'stop') this.model.recordControlMessage(message);
+    const link = this.links.get(executor);
     if (this.isCut || !link) return;
-    this.model.time.schedule(this.play.wayMs, () => link.agent.receive(link, message));
+    this.model.time.schedule(this.scenario.transitMs, () => link.executor.receive(link, message));
   }
 }
 
 /** Plays one load. */
 export class CapacityModel {
   readonly time = new VirtualTime();
-  readonly entries: ModelEntry[] = [];
-  readonly agents: CapacityModelExecutor[] = [];
-  readonly count: RoomCount = {
+  readonly dispatchers: ModelDispatcher[] = [];
+  readonly executors: CapacityModelExecutor[] = [];
+  readonly count: CapacityCounts = {
     starts: 0,
     full: 0,
     submitted: 0,
     completed: 0,
     inTime: 0,
-    roomMessages: 0,
+    capacityMessages: 0,
     controlMessages: 0,
     controlBytes: 0,
     idleWhileWaiting: 0,
@@ -192,30 +192,30 @@
   private readonly due: number[] = DOMAINS.map(() => 0);
   private jobs = 0;
 
-  constructor(readonly play: RoomPlay) {
-    this.nextRandom = createRandom(play.seed);
+  constructor(readonly scenario: CapacityScenario) {
+    this.nextRandom = createRandom(scenario.seed);
     for (let index = 0; index < DISPATCHERS; index += 1)
-      this.entries.push(new ModelEntry(index, play, this, this.nextRandom));
-    for (let index = 0; index < EXECUTORS; index += 1) this.addAgent(index, 1);
+      this.dispatchers.push(new ModelDispatcher(index, scenario, this, this.nextRandom));
+    for (let index = 0; index < EXECUTORS; index += 1) this.addExecutor(index, 1);
   }
 
   /** Plays to the end. */
-  async run(): Promise<RoomCount> {
-    const { playMs, events = [] } = this.play;
+  async run(): Promise<CapacityCounts> {
+    const { durationMs, events = [] } = this.scenario;
     for (const { at, run } of events) this.time.schedule(at, () => run(this));
-    while (this.time.now() < playMs) {
+    while (this.time.now() < durationMs) {
       await this.time.advance();
       const now = this.time.now();
       if (Number.isInteger(now)) this.submitDue(now);
-      for (const entry of this.entries) entry.step(now);
-      for (const agent of this.agents) agent.step(now);
+      for (const dispatcher of this.dispatchers) dispatcher.step(now);
+      for (const executor of this.executors) executor.step(now);
       if (now % 10 === 0) this.measureIdle();
     }
     return this.count;
   }
 
   /** Adds an executor, or another life of one. */
-  addAgent(index: number, life: number): void {
+  addExecutor(index: number, incarnation: number): void {
     const isLarger = index % 3 === 2;
     const slots = isLarger ? SLOTS * LARGER : SLOTS;
     const slowness = isLarger ? SLOWER : FASTER;
@@ -228,21 +228,21 @@
       (KINDS[Number(job[0])]?.estimateMs ?? 0) * slowness * this.drawFactor(WORK_SPREAD);
     const options = {
       index,
-      life,
+      incarnation,
       domain: DOMAINS[index % DOMAINS.length] ?? '',
       capacity,
       findWork,
-      sharing: this.play.sharing,
-      wayMs: this.play.wayMs,
+      sharing: this.scenario.sharing,
+      transitMs: this.scenario.transitMs,
       times: TIMES,
     };
-    const agent = new CapacityModelExecutor(options, this.time, {
-      note: (what) => this.note(what),
-      noteControl: (message) => this.noteControl(message),
+    const executor = new CapacityModelExecutor(options, this.time, {
+      recordStart: (what) => this.recordStart(what),
+      recordControlMessage: (message) => this.recordControlMessage(message),
     });
-    this.agents[index] = agent;
-    const directory = new DispatcherDirectory(agent.name, MAX_LINKS, 0);
-    const live = this.entries.filter(({ state }) => state !== 'dead');
+    this.executors[index] = executor;
+    const directory = new DispatcherDirectory(executor.name, MAX_LINKS, 0);
+    const live = this.dispatchers.filter(({ state }) => state !== 'dead');
     directory.recordMembers(
       live.map(({ address, domain }) => ({ address, failureDomain: domain })),
       0,
@@ -250,44 +250,47 @@
     const wanted = directory.chooseLinks(0);
     for (const address of wanted) directory.recordAlive(address, 0);
     const home = directory.choosePreferred(wanted, 0);
-    for (const entry of live) if (wanted.has(entry.address)) agent.link(entry, entry.address === home);
+    for (const dispatcher of live)
+      if (wanted.has(dispatcher.address)) executor.link(dispatcher, dispatcher.address === home);
   }
 
   /** Counts what is sent or comes back. */
-  note(what: 'starts' | 'full'): void {
-    if (this.time.now() >= this.play.countFromMs) this.count[what] += 1;
+  recordStart(what: 'starts' | 'full'): void {
+    if (this.time.now() >= this.scenario.countFromMs) this.count[what] += 1;
   }
 
   /** Counts a message that orders nothing. */
-  noteControl(message: { readonly type: string }): void {
-    if (this.time.now() < this.play.countFromMs) return;
-    if (message.type === 'room' || message.type === 'demand') this.count.roomMessages += 1;
+  recordControlMessage(message: { readonly type: string }): void {
+    if (this.time.now() < this.scenario.countFromMs) return;
+    if (message.type === 'room' || message.type === 'demand') this.count.capacityMessages += 1;
     this.count.controlMessages += 1;
     this.count.controlBytes += JSON.stringify(message).length;
   }
 
   private measureIdle(): void {
-    if (this.time.now() < this.play.countFromMs) return;
+    if (this.time.now() < this.scenario.countFromMs) return;
     this.count.steps += 1;
     let idle = 0;
-    for (const agent of this.agents) {
-      const isAwaited = [...agent.links].some(
-        ({ entry }) => entry.state === 'live' && !entry.isCut && entry.dispatcher.waitingTasks > 0,
+    for (const executor of this.executors) {
+      const isAwaited = [...executor.links].some(
+        ({ dispatcher }) =>
+          dispatcher.state === 'live' && !dispatcher.isCut && dispatcher.core.waitingTasks > 0,
       );
-      if (isAwaited) idle += agent.readFreeShare() / this.agents.length;
+      if (isAwaited) idle += executor.readFreeShare() / this.executors.length;
     }
     this.count.idleWhileWaiting += idle;
   }
 
   private submitDue(now: number): void {
-    const { load, playMs, countFromMs } = this.play;
-    const peakAt = (playMs + countFromMs) / 2;
+    const { load, durationMs, countFromMs } = this.scenario;
+    const peakAt = (durationMs + countFromMs) / 2;
     const middle = (DOMAINS.length - 1) / 2;
     // Of all domains together: they swing one after the other.
     let peak = 0;
-    for (let domain = 0; domain < DOMAINS.length; domain += 1) peak += findWave((domain - middle) * PHASE_MS);
+    for (let domain = 0; domain < DOMAINS.length; domain += 1)
+      peak += computeDemand((domain - middle) * PHASE_MS);
     DOMAINS.forEach((_, domain) => {
-      const wave = findWave(now - peakAt - (domain - middle) * PHASE_MS) / peak;
+      const wave = computeDemand(now - peakAt - (domain - middle) * PHASE_MS) / peak;
       this.due[domain] = (this.due[domain] ?? 0) + load * JOBS_PER_MS * wave;
       while ((this.due[domain] ?? 0) > this.nextRandom()) {
         this.due[domain] = (this.due[domain] ?? 0) - 1;
@@ -298,9 +301,9 @@
 
   private submit(domain: number, now: number): void {
     // Of two dispatchers the busier one is now the first, now the second: no order of links is to prefer it.
-    const isFirst = this.nextRandom() < UNEVEN === (domain % 2 === 0);
-    const entry = this.entries[isFirst ? domain : domain + DOMAINS.length];
-    if (entry?.state !== 'live') return;
+    const isFirst = this.nextRandom() < FIRST_DISPATCHER_SHARE === (domain % 2 === 0);
+    const dispatcher = this.dispatchers[isFirst ? domain : domain + DOMAINS.length];
+    if (dispatcher?.state !== 'live') return;
     const kind = this.drawKind();
     const { count, estimateMs } = KINDS[kind] ?? { count: 1, estimateMs: 1 };
     this.jobs += 1;
@@ -310,9 +313,9 @@
       route: { ...ROUTE, targetLatencyMs: TARGET_LATENCY_MS },
       spec: '',
       steps: [{ ...STEP, count, estimateMs, resources: { ...TASK, cpuMilli } }],
-      patienceMs: PATIENCE_MS,
+      patienceMs: CALLER_TIMEOUT_MS,
     };
-    const isCounted = now >= this.play.countFromMs && now < this.play.playMs - PATIENCE_MS;
+    const isCounted = now >= this.scenario.countFromMs && now < this.scenario.durationMs - CALLER_TIMEOUT_MS;
     if (isCounted) this.count.submitted += 1;
     const objectiveMs = 1.6 * estimateMs + TARGET_LATENCY_MS;
     const answer = ({ kind: outcome }: JobOutcome): void => {
@@ -320,7 +323,7 @@
       this.count.completed += 1;
       if (this.time.now() - now <= objectiveMs) this.count.inTime += 1;
     };
-    entry.dispatcher.submit(submission, { answer }, now);
+    dispatcher.core.submit(submission, { answer }, now);
   }
 
   private drawKind(): number {
@@ -338,17 +341,17 @@
 }
 
 /** Jobs a ms that take all the room. */
-const JOBS_PER_MS = findRoom() / findWorkOfJob();
+const JOBS_PER_MS = computeCapacity() / computeMeanWork();
 
-function findRoom(): number {
+function computeCapacity(): number {
   const larger = Math.floor(EXECUTORS / 3);
   return (larger * SLOTS * LARGER) / SLOWER + ((EXECUTORS - larger) * SLOTS) / FASTER;
 }
 
-function findWorkOfJob(): number {
+function computeMeanWork(): number {
   return KINDS.reduce((sum, { share, count, estimateMs }) => sum + (share * count * estimateMs) / 1_000, 0);
 }
 
-function findWave(ms: number): number {
+function computeDemand(ms: number): number {
   return 1 + SWING * Math.cos((2 * Math.PI * ms) / PERIOD_MS);
 }
--- a/test/fakes/CapacityModelExecutor.ts
+++ b/test/fakes/CapacityModelExecutor.ts
@@ -13,47 +13,47 @@
 import type { CapacitySharingKind } from '../../src/process/settings/dispatchSettings.js';
 import type { Resources } from '../../src/request/dispatch/submission.js';
 import { ModelUpstream } from './ModelUpstream.js';
-import type { ModelEntry } from './CapacityModel.js';
+import type { ModelDispatcher } from './CapacityModel.js';
 import { ROUTE } from './dispatchFixtures.js';
 import { buildUpstreamReport } from './upstreamFixtures.js';
 import type { VirtualTime } from './VirtualTime.js';
 
 const TICK_MS = 57;
 const PING_DUE = 0.9;
-const TOGETHER = 0.5;
+const JOINT_PING_DUE = 0.5;
 
 /** What an executor sends. */
-export type AgentMessage = Ping | CapacityChange | AttemptResult | ExecutorHello;
+export type ModelExecutorMessage = Ping | CapacityChange | AttemptResult | ExecutorHello;
 
 /** A link as its executor keeps it. */
 export interface ModelLink {
-  readonly agent: CapacityModelExecutor;
-  readonly entry: ModelEntry;
-  readonly pacer: CapacityReportLimiter;
-  echoMs: number | undefined;
+  readonly executor: CapacityModelExecutor;
+  readonly dispatcher: ModelDispatcher;
+  readonly limiter: CapacityReportLimiter;
+  roundTripMs: number | undefined;
   isWaiting: boolean;
-  isRoomDue: boolean;
+  isReportDue: boolean;
   /** The timer that tells room; undefined for none. */
   timer: object | undefined;
   pingedAt: number;
 }
 
 /** Parameters of an executor. */
-export interface ModelAgentOptions {
+export interface ModelExecutorOptions {
   readonly index: number;
-  readonly life: number;
+  readonly incarnation: number;
   readonly domain: string;
   readonly capacity: Resources;
   readonly findWork: (name: RunName) => number;
   readonly sharing: CapacitySharingKind;
-  readonly wayMs: number;
+  readonly transitMs: number;
   readonly times: DispatchTimes;
 }
 
 /** What it tells its model. */
-export interface ModelAgentEvents {
-  readonly note: (what: 'full') => void;
-  readonly noteControl: (message: { readonly type: string }) => void;
+export interface ModelExecutorEvents {
+  readonly recordStart: (what: 'full') => void;
+  readonly recordControlMessage: (message: { readonly type: string }) => void;
 }
 
 /** One life of an executor. */
@@ -68,23 +68,29 @@
   private isEmptied = false;
 
   constructor(
-    private readonly options: ModelAgentOptions,
+    private readonly options: ModelExecutorOptions,
     private readonly time: VirtualTime,
-    private readonly events: ModelAgentEvents,
+    private readonly events: ModelExecutorEvents,
   ) {
-    const { index, life, domain: failureDomain, times, findWork } = options;
+    const { index, incarnation, domain: failureDomain, times, findWork } = options;
     this.domain = failureDomain;
     this.name = `a${index}`;
-    this.id = `${this.name}@${life}`;
-    const identity = { agent: this.name, life: `${life}`, failureDomain, startedAt: 1_000_000 * life };
+    this.id = `${this.name}@${incarnation}`;
+    const identity = {
+      agent: this.name,
+      life: `${incarnation}`,
+      failureDomain,
+      startedAt: 1_000_000 * incarnation,
+    };
     const bounds = { ...times, maxLeaseMs: 1_000, stopMs: 50 };
     const effects = {
       openApi: () => new ModelUpstream(time, findWork),
-      sendResult: (entryLife: string, result: AttemptResult) => this.sendResult(entryLife, result),
+      sendResult: (dispatcherIncarnation: string, result: AttemptResult) =>
+        this.sendResult(dispatcherIncarnation, result),
       handleJoined: () => undefined,
       sendCrashes: () => undefined,
       handleCapacityChange: () => undefined,
-      handleChange: () => this.scheduleRoom(),
+      handleChange: () => this.scheduleCapacityReports(),
       log: () => undefined,
     };
     this.core = new Executor(identity, bounds, time, effects, options.sharing);
@@ -93,39 +99,39 @@
 
   /** The upstream reports its room. */
   report(capacity: Resources): void {
-    const { index, life } = this.options;
-    const id = `u${index}-${life}`;
+    const { index, incarnation } = this.options;
+    const id = `u${index}-${incarnation}`;
     this.sequence += 1;
     const { sequence } = this;
     this.core.handleReport(buildUpstreamReport({ id, service: ROUTE.service, capacity, sequence }));
   }
 
   /** Links to an entry. */
-  link(entry: ModelEntry, isHome: boolean): void {
+  link(dispatcher: ModelDispatcher, isHome: boolean): void {
     const link: ModelLink = {
-      agent: this,
-      entry,
-      pacer: new CapacityReportLimiter(),
-      echoMs: undefined,
+      executor: this,
+      dispatcher,
+      limiter: new CapacityReportLimiter(),
+      roundTripMs: undefined,
       isWaiting: false,
-      isRoomDue: false,
+      isReportDue: false,
       timer: undefined,
       pingedAt: -Infinity,
     };
     this.links.add(link);
-    entry.links.set(this.id, link);
-    entry.receive(this.id, this.core.buildHello(''));
-    this.core.handleWelcome(entry.life, this.time.now());
-    if (isHome) this.core.setPreferred(entry.life);
+    dispatcher.links.set(this.id, link);
+    dispatcher.receive(this.id, this.core.buildHello(''));
+    this.core.handleWelcome(dispatcher.incarnation, this.time.now());
+    if (isHome) this.core.setPreferred(dispatcher.incarnation);
   }
 
   /** The process ends without a word, and its upstream's tasks with it. */
   end(): void {
     this.isDead = true;
     this.core.close();
-    for (const { entry } of this.links) {
-      entry.links.delete(this.id);
-      entry.dispatcher.handleClose(this.id, 'closed', this.time.now());
+    for (const { dispatcher } of this.links) {
+      dispatcher.links.delete(this.id);
+      dispatcher.core.handleClose(this.id, 'closed', this.time.now());
     }
   }
 
@@ -136,8 +142,8 @@
   }
 
   /** The link has closed. */
-  unlink(entry: ModelEntry): void {
-    for (const link of [...this.links]) if (link.entry === entry) this.links.delete(link);
+  unlink(dispatcher: ModelDispatcher): void {
+    for (const link of [...this.links]) if (link.dispatcher === dispatcher) this.links.delete(link);
   }
 
   /** Share of the room that nobody uses. */
@@ -150,19 +156,19 @@
   /** Takes a message of an entry. */
   receive(link: ModelLink, message: DispatcherMessage): void {
     if (this.isDead || !this.links.has(link)) return;
-    const { life } = link.entry;
-    if (message.type === 'start') this.core.handleStart(life, message);
-    if (message.type === 'stop') this.core.handleStop(life, message);
+    const { incarnation } = link.dispatcher;
+    if (message.type === 'start') this.core.handleStart(incarnation, message);
+    if (message.type === 'stop') this.core.handleStop(incarnation, message);
     if (message.type === 'demand') {
       link.isWaiting = true;
-      this.core.handleDemand(life, message);
-      this.tellRoom(link);
+      this.core.handleDemand(incarnation, message);
+      this.sendCapacity(link);
     }
     if (message.type !== 'pong') return;
     link.isWaiting = message.isWaiting;
-    link.echoMs = Math.round(this.time.now() - message.at);
-    link.pacer.recordRoundTrip(link.echoMs);
-    this.core.handlePong(life, message);
+    link.roundTripMs = Math.round(this.time.now() - message.at);
+    link.limiter.recordRoundTrip(link.roundTripMs);
+    this.core.handlePong(incarnation, message);
   }
 
   /** Does what the daemon's timer does. */
@@ -171,62 +177,62 @@
     this.core.tick();
     const links = [...this.links];
     if (!links.some((link) => this.isOlderPing(link, PING_DUE))) return;
-    for (const link of links) if (this.isOlderPing(link, TOGETHER)) this.sendPing(link);
+    for (const link of links) if (this.isOlderPing(link, JOINT_PING_DUE)) this.sendPing(link);
   }
 
-  private sendResult(entryLife: string, result: AttemptResult): void {
-    if (result.reason === 'full') this.events.note('full');
+  private sendResult(dispatcherIncarnation: string, result: AttemptResult): void {
+    if (result.reason === 'full') this.events.recordStart('full');
     for (const link of this.links) {
-      if (link.entry.life !== entryLife) continue;
+      if (link.dispatcher.incarnation !== dispatcherIncarnation) continue;
       this.send(link, result);
-      if (link.isRoomDue) return;
-      link.isRoomDue = true;
-      queueMicrotask(() => this.tellRoom(link));
+      if (link.isReportDue) return;
+      link.isReportDue = true;
+      queueMicrotask(() => this.sendCapacity(link));
     }
   }
 
-  private scheduleRoom(): void {
+  private scheduleCapacityReports(): void {
     const now = this.time.now();
-    const due = [...this.links].filter(({ entry, isWaiting }) =>
-      this.core.needsCapacity(entry.life, isWaiting),
+    const due = [...this.links].filter(({ dispatcher, isWaiting }) =>
+      this.core.needsCapacity(dispatcher.incarnation, isWaiting),
     );
     for (const link of due) {
-      const { entry, pacer } = link;
+      const { dispatcher, limiter } = link;
       if (link.timer) continue;
       const timer = (link.timer = {});
-      const isPart = this.core.hasShare(entry.life);
-      const waitMs = isPart ? pacer.findShareWait(now, due.length) : pacer.findWait(now, due.length);
+      const isPart = this.core.hasShare(dispatcher.incarnation);
+      const waitMs = isPart ? limiter.findShareWait(now, due.length) : limiter.findWait(now, due.length);
       this.time.schedule(waitMs, () => {
-        if (link.timer === timer) this.tellRoom(link);
+        if (link.timer === timer) this.sendCapacity(link);
       });
     }
   }
 
-  private tellRoom(link: ModelLink): void {
+  private sendCapacity(link: ModelLink): void {
     if (this.isDead) return;
     link.timer = undefined;
-    link.isRoomDue = false;
+    link.isReportDue = false;
     if (this.isOlderPing(link, PING_DUE)) return this.sendPing(link);
-    const room = this.core.takeCapacityChange(link.entry.life);
+    const room = this.core.takeCapacityChange(link.dispatcher.incarnation);
     if (!room) return;
     const at = Math.floor(this.time.now());
-    link.pacer.recordReport(at);
+    link.limiter.recordReport(at);
     this.send(link, { type: 'room', at, room });
   }
 
   private sendPing(link: ModelLink): void {
     link.pingedAt = this.time.now();
-    link.pacer.recordReport(link.pingedAt);
-    this.send(link, { ...this.core.buildPing(link.entry.life, 1), echoMs: link.echoMs });
+    link.limiter.recordReport(link.pingedAt);
+    this.send(link, { ...this.core.buildPing(link.dispatcher.incarnation, 1), echoMs: link.roundTripMs });
   }
 
   private isOlderPing({ pingedAt }: ModelLink, intervals: number): boolean {
     return this.time.now() - pingedAt >= this.options.times.pingMs * intervals;
   }
 
-  private send({ entry }: ModelLink, message: AgentMessage): void {
-    if (message.type !== 'result') this.events.noteControl(message);
-    if (entry.isCut) return;
-    this.time.schedule(this.options.wayMs, () => entry.receive(this.id, message));
+  private send({ dispatcher }: ModelLink, message: ModelExecutorMessage): void {
+    if (message.type !== 'result') this.events.recordControlMessage(message);
+    if (dispatcher.isCut) return;
+    this.time.schedule(this.options.transitMs, () => dispatcher.receive(this.id, message));
   }
 }
--- a/test/fakes/ConfigurationModel.ts
+++ b/test/fakes/ConfigurationModel.ts
@@ -15,7 +15,7 @@
 
 const PING_MS = 173;
 /** One way of a message, ms. */
-const WAY_MS = 0.5;
+const TRANSIT_MS = 0.5;
 const LINKS = 3;
 /** Bytes of a ping or an echo, and of a start. */
 const PING_BYTES = 200;
@@ -28,7 +28,7 @@
 const LIMITS = { maxBodyBytes: 1_000, headerTimeoutMs: 1_000, idleTimeoutMs: 1_000 };
 
 /** What is played. */
-export interface ConfigurationPlay {
+export interface ConfigurationScenario {
   /** Of the link of each VM, Mbit a second. */
   readonly mbps: number;
   readonly dispatchers: number;
@@ -63,21 +63,21 @@
   ) {}
 
   /** Carries bytes to another VM. */
-  carry(bytes: number, to: ModelLink, arrive: () => void): void {
+  send(bytes: number, to: ModelLink, arrive: () => void): void {
     const now = this.time.now();
-    this.leavesAt = Math.max(now, this.leavesAt) + this.takeMs(bytes);
-    this.time.schedule(this.leavesAt + WAY_MS - now, () => to.take(bytes, arrive));
+    this.leavesAt = Math.max(now, this.leavesAt) + this.computeTransmissionMs(bytes);
+    this.time.schedule(this.leavesAt + TRANSIT_MS - now, () => to.receive(bytes, arrive));
   }
 
   /** Time that bytes take on the empty link, ms. */
-  takeMs(bytes: number): number {
+  computeTransmissionMs(bytes: number): number {
     return (bytes * 8) / (this.mbps * 1_000);
   }
 
   /** What arrives has begun to arrive while it left: only what came just before it makes it wait. */
-  private take(bytes: number, arrive: () => void): void {
+  private receive(bytes: number, arrive: () => void): void {
     const now = this.time.now();
-    this.arrivesAt = Math.max(now, this.arrivesAt + this.takeMs(bytes));
+    this.arrivesAt = Math.max(now, this.arrivesAt + this.computeTransmissionMs(bytes));
     this.time.schedule(this.arrivesAt - now, arrive);
   }
 }
@@ -98,36 +98,36 @@
   private readonly sizes = new WeakMap<object, number>();
   private readonly nextRandom: () => number;
 
-  constructor(private readonly play: ConfigurationPlay) {
-    this.nextRandom = createRandom(play.seed);
-    for (let at = 0; at < play.dispatchers; at += 1) this.dispatchers.push(this.createNode(true));
-    for (let at = 0; at < play.executors; at += 1) this.executors.push(this.createNode(false));
+  constructor(private readonly scenario: ConfigurationScenario) {
+    this.nextRandom = createRandom(scenario.seed);
+    for (let at = 0; at < scenario.dispatchers; at += 1) this.dispatchers.push(this.createNode(true));
+    for (let at = 0; at < scenario.executors; at += 1) this.executors.push(this.createNode(false));
     this.executors.forEach((executor, at) => this.linkExecutor(executor, at));
-    this.startWork();
+    this.startTraffic();
     for (const { exchange } of [...this.dispatchers, ...this.executors])
       exchange.adoptEmptied({ revision: 0, domains: [] }, 'store');
-    play.changes.forEach((at, index) => this.scheduleChange(at, index + 2));
+    scenario.changes.forEach((at, index) => this.scheduleChange(at, index + 2));
   }
 
   get newest(): number {
-    return this.play.changes.length + 1;
+    return this.scenario.changes.length + 1;
   }
 
   private createNode(usesRoutes: boolean): ModelNode {
     const events = { changeConfiguration: () => undefined, changeEmptied: () => undefined };
     const { time: timeline, nextRandom } = this;
-    const options = { usesRoutes, linkMbps: this.play.mbps, timeline, nextRandom };
+    const options = { usesRoutes, linkMbps: this.scenario.mbps, timeline, nextRandom };
     const exchange = new OperatorExchange(events, options);
     exchange.adoptConfiguration(buildConfiguration(1, 10), 'store');
-    return { link: new ModelLink(this.play.mbps, this.time), exchange };
+    return { link: new ModelLink(this.scenario.mbps, this.time), exchange };
   }
 
   private linkExecutor(executor: ModelNode, at: number): void {
     const step = 1 + Math.floor(this.nextRandom() * 2);
     for (let link = 0; link < LINKS; link += 1) {
-      const dispatcher = this.dispatchers[(at + link * step) % this.play.dispatchers] as ModelNode;
-      const forth: PeerChannel = { send: (message) => this.carry(executor, dispatcher, message, back) };
-      const back: PeerChannel = { send: (message) => this.carry(dispatcher, executor, message, forth) };
+      const dispatcher = this.dispatchers[(at + link * step) % this.scenario.dispatchers] as ModelNode;
+      const forth: PeerChannel = { send: (message) => this.sendMessage(executor, dispatcher, message, back) };
+      const back: PeerChannel = { send: (message) => this.sendMessage(dispatcher, executor, message, forth) };
       this.time.schedule(this.nextRandom() * PING_MS, () => this.ping(executor, dispatcher, forth, back));
     }
   }
@@ -135,47 +135,47 @@
   private ping(executor: ModelNode, dispatcher: ModelNode, forth: PeerChannel, back: PeerChannel): void {
     const at = this.time.now();
     const { versions } = executor.exchange;
-    const tookMs = 2 * (WAY_MS + executor.link.takeMs(PING_BYTES));
-    executor.link.carry(PING_BYTES, dispatcher.link, () => {
+    const tookMs = 2 * (TRANSIT_MS + executor.link.computeTransmissionMs(PING_BYTES));
+    executor.link.send(PING_BYTES, dispatcher.link, () => {
       dispatcher.exchange.compareVersions(versions, back, this.time.now());
-      const told = dispatcher.exchange.versions;
-      dispatcher.link.carry(PING_BYTES, executor.link, () => {
-        this.noteLate(this.time.now() - at - tookMs);
-        executor.exchange.compareVersions(told, forth, this.time.now());
+      const reported = dispatcher.exchange.versions;
+      dispatcher.link.send(PING_BYTES, executor.link, () => {
+        this.recordDelay(this.time.now() - at - tookMs);
+        executor.exchange.compareVersions(reported, forth, this.time.now());
       });
     });
     this.time.schedule(PING_MS, () => this.ping(executor, dispatcher, forth, back));
   }
 
-  private startWork(): void {
-    const { mbps } = this.play;
+  private startTraffic(): void {
+    const { mbps } = this.scenario;
     const perSecond = Math.min(MAX_STARTS_PER_S, (mbps * 1_000_000 * START_SHARE) / (START_BYTES * 8));
-    for (const dispatcher of this.dispatchers) this.startNext(dispatcher, 1_000 / perSecond);
+    for (const dispatcher of this.dispatchers) this.sendNextStart(dispatcher, 1_000 / perSecond);
   }
 
-  private startNext(dispatcher: ModelNode, everyMs: number): void {
+  private sendNextStart(dispatcher: ModelNode, everyMs: number): void {
     const to = this.executors[Math.floor(this.nextRandom() * this.executors.length)] as ModelNode;
     const at = this.time.now();
-    const tookMs = WAY_MS + dispatcher.link.takeMs(START_BYTES);
-    dispatcher.link.carry(START_BYTES, to.link, () => this.noteLate(this.time.now() - at - tookMs));
-    this.time.schedule(everyMs * (0.5 + this.nextRandom()), () => this.startNext(dispatcher, everyMs));
+    const tookMs = TRANSIT_MS + dispatcher.link.computeTransmissionMs(START_BYTES);
+    dispatcher.link.send(START_BYTES, to.link, () => this.recordDelay(this.time.now() - at - tookMs));
+    this.time.schedule(everyMs * (0.5 + this.nextRandom()), () => this.sendNextStart(dispatcher, everyMs));
   }
 
   private scheduleChange(at: number, version: number): void {
-    const configuration = buildConfiguration(version, this.play.routes);
+    const configuration = buildConfiguration(version, this.scenario.routes);
     for (const { exchange } of this.dispatchers) {
       const readAt = at + this.nextRandom() * STORE_MS;
       this.time.schedule(readAt, () => exchange.adoptConfiguration(configuration, 'store'));
     }
   }
 
-  private carry(from: ModelNode, to: ModelNode, message: PeerMessage, answer: PeerChannel): void {
-    const bytes = this.measure(message);
+  private sendMessage(from: ModelNode, to: ModelNode, message: PeerMessage, answer: PeerChannel): void {
+    const bytes = this.countBytes(message);
     this.bytes += bytes;
-    from.link.carry(bytes, to.link, () => to.exchange.receive(message, answer));
+    from.link.send(bytes, to.link, () => to.exchange.receive(message, answer));
   }
 
-  private measure(message: PeerMessage): number {
+  private countBytes(message: PeerMessage): number {
     if (message.type !== 'configuration') return JSON.stringify(message).length;
     const known = this.sizes.get(message.configuration);
     if (known !== undefined) return known;
@@ -184,7 +184,7 @@
     return bytes;
   }
 
-  private noteLate(ms: number): void {
+  private recordDelay(ms: number): void {
     this.lateMs = Math.max(this.lateMs, ms);
   }
 }
@@ -192,21 +192,21 @@
 /**
  * Plays changes of the configuration.
  *
- * @param play - links, processes and changes
+ * @param scenario - links, processes and changes
  * @returns how late other messages were, and when all were up to date
  */
-export function runConfigurationChange(play: ConfigurationPlay): ConfigurationOutcome {
-  const model = new ConfigurationModel(play);
+export function runConfigurationChange(scenario: ConfigurationScenario): ConfigurationOutcome {
+  const model = new ConfigurationModel(scenario);
   const { newest, time, executors } = model;
   const name = `service-of-${newest}`;
   let behind = executors.length;
   let unaware = executors.length;
-  time.runUntil(play.untilMs, () => {
+  time.runUntil(scenario.untilMs, () => {
     // Executors come up to date one after another; only the last one counts.
     while (unaware > 0 && executors[unaware - 1]?.exchange.services?.has(name)) unaware -= 1;
     if (unaware === 0 && model.servicesMs === Infinity) model.servicesMs = time.now();
     while (behind > 0 && executors[behind - 1]?.exchange.versions.version === newest) behind -= 1;
-    return behind === 0 && play.changes.length > 0;
+    return behind === 0 && scenario.changes.length > 0;
   });
   const wholeMs = behind === 0 ? time.now() : Infinity;
   return { lateMs: model.lateMs, servicesMs: model.servicesMs, wholeMs, bytes: model.bytes };
--- a/test/fakes/CongestionModel.ts
+++ b/test/fakes/CongestionModel.ts
@@ -25,14 +25,14 @@
 const STEP_MS = 1;
 const TICK_MS = 40;
 /** One way of a message, ms, as between two failure domains. */
-const WAY_MS = 1;
+const TRANSIT_MS = 1;
 /** Time that a task works, ms, and that its caller waits. */
 const WORK_MS = 60;
-const PATIENCE_MS = 1_500;
+const CALLER_TIMEOUT_MS = 1_500;
 /** Time that the users allow beyond the work, ms. */
 const TARGET_LATENCY_MS = 61;
 /** Agents that a dispatcher is linked to, and tasks that fit one: more than any load here asks for. */
-const AGENTS = 8;
+const EXECUTORS = 8;
 const CAPACITY = { cpuMilli: 100_000, memoryMb: 1_000_000, gpus: 0 };
 /** Most jobs a second that are submitted to one dispatcher: a wide link is not filled. */
 const MAX_PER_S = 400;
@@ -41,7 +41,7 @@
 const TIMES = deriveDispatchTimes({ resubmitMs: 1_300, maxLeaseMs: 1_000 } as DispatchSettings);
 
 /** What is played. */
-export interface CongestionPlay {
+export interface CongestionScenario {
   /** Of each dispatcher's link, Mbit a second. */
   readonly mbps: number;
   readonly dispatchers: number;
@@ -58,7 +58,7 @@
 /** When the trigger begins, when it ends, and when the play ends, ms. */
 export const TRIGGER_FROM_MS = 1_000;
 export const TRIGGER_UNTIL_MS = 5_000;
-export const PLAY_MS = 9_000;
+export const RUN_MS = 9_000;
 
 /** Jobs of one second by the time of their submission. */
 export interface SecondCount {
@@ -67,9 +67,9 @@
   refused: number;
 }
 
-interface Sent {
+interface InFlightMessage {
   readonly message: DispatcherMessage;
-  readonly agent: number;
+  readonly executor: number;
   readonly arrivesAt: number;
 }
 
@@ -78,37 +78,37 @@
   readonly endsAt: number;
 }
 
-interface ModelAgent {
+interface ModelExecutor {
   readonly id: string;
   startsSeen: number;
   /** Time that the newest echo took, ms. */
-  echoMs: number;
+  roundTripMs: number;
   readonly runs: Run[];
   nextPingAt: number;
 }
 
 /** One dispatcher, its link and the agents it is linked to; dispatchers share nothing but the time. */
-class ModelEntry {
+class ModelDispatcher {
   readonly seconds: SecondCount[] = [];
-  private readonly dispatcher: Dispatcher;
-  private readonly agents: ModelAgent[] = [];
-  private readonly onTheWay: Sent[] = [];
+  private readonly core: Dispatcher;
+  private readonly executors: ModelExecutor[] = [];
+  private readonly inFlight: InFlightMessage[] = [];
   private now = 0;
   private linkFreeAt = 0;
   private due = 0;
   private jobs = 0;
 
   constructor(
-    private readonly play: CongestionPlay,
+    private readonly scenario: CongestionScenario,
     index: number,
   ) {
-    const nextRandom = createRandom(play.seed + index);
-    this.dispatcher = new Dispatcher(
+    const nextRandom = createRandom(scenario.seed + index);
+    this.core = new Dispatcher(
       {
         pingMs: TIMES.pingMs,
         bounds: new JobBounds(WIDE_LIMITS),
         placement: new SpeedPlacement(1),
-        window: play.createWindow(),
+        window: scenario.createWindow(),
         nextRandom,
       },
       {
@@ -117,13 +117,13 @@
         noteOutcome: () => undefined,
       },
     );
-    for (let number = 0; number < AGENTS; number += 1) {
+    for (let number = 0; number < EXECUTORS; number += 1) {
       const base = { failureDomain: 'x', holding: [], results: [], entryLife: 'me', orphanMs: 1_240 };
       const hello = { type: 'agent-hello', agent: `a${number}`, life: '1', ...base } as const;
-      const id = this.dispatcher.handleHello(hello, 'me', 0);
+      const id = this.core.handleHello(hello, 'me', 0);
       const nextPingAt = nextRandom() * TIMES.pingMs;
-      this.agents.push({ id, startsSeen: 0, echoMs: 0, runs: [], nextPingAt });
-      this.ping(this.agents[number] as ModelAgent);
+      this.executors.push({ id, startsSeen: 0, roundTripMs: 0, runs: [], nextPingAt });
+      this.ping(this.executors[number] as ModelExecutor);
     }
   }
 
@@ -131,14 +131,15 @@
   step(now: number): void {
     this.now = now;
     this.submitDue();
-    while (this.onTheWay[0] && this.onTheWay[0].arrivesAt <= now) this.arrive(this.onTheWay.shift() as Sent);
-    for (const agent of this.agents) this.stepAgent(agent);
-    if (now % TICK_MS === 0) this.dispatcher.tick(now);
-    this.dispatcher.place(now);
+    while (this.inFlight[0] && this.inFlight[0].arrivesAt <= now)
+      this.arrive(this.inFlight.shift() as InFlightMessage);
+    for (const executor of this.executors) this.stepExecutor(executor);
+    if (now % TICK_MS === 0) this.core.tick(now);
+    this.core.place(now);
   }
 
   private submitDue(): void {
-    const { mbps, bodyBytes, load, triggerLoad } = this.play;
+    const { mbps, bodyBytes, load, triggerLoad } = this.scenario;
     const isTriggered = this.now >= TRIGGER_FROM_MS && this.now < TRIGGER_UNTIL_MS;
     const perSecond = (mbps * 125_000 * (isTriggered ? triggerLoad : load)) / (bodyBytes + START_BYTES);
     this.due += (Math.min(perSecond, MAX_PER_S) * STEP_MS) / 1_000;
@@ -153,67 +154,73 @@
     const submission = {
       id: `job${this.jobs}`,
       route: { ...ROUTE, targetLatencyMs: TARGET_LATENCY_MS },
-      spec: 'x'.repeat(this.play.bodyBytes),
+      spec: 'x'.repeat(this.scenario.bodyBytes),
       steps: [{ ...STEP, estimateMs: WORK_MS }],
-      patienceMs: PATIENCE_MS,
+      patienceMs: CALLER_TIMEOUT_MS,
     };
     const answer = ({ kind }: JobOutcome): void => {
       if (kind === 'completed') count.completed += 1;
       if (kind === 'refused') count.refused += 1;
     };
-    this.dispatcher.submit(submission, { answer }, this.now);
+    this.core.submit(submission, { answer }, this.now);
   }
 
   /** Messages take their turn on the link. */
   private send(id: string, message: DispatcherMessage): void {
     const bytes = START_BYTES + (message.type === 'start' ? message.spec.length : 0);
-    this.linkFreeAt = Math.max(this.linkFreeAt, this.now) + (bytes * 8) / (this.play.mbps * 1_000);
-    const agent = this.agents.findIndex((one) => one.id === id);
-    this.onTheWay.push({ message, agent, arrivesAt: this.linkFreeAt + WAY_MS });
+    this.linkFreeAt = Math.max(this.linkFreeAt, this.now) + (bytes * 8) / (this.scenario.mbps * 1_000);
+    const executor = this.executors.findIndex((one) => one.id === id);
+    this.inFlight.push({ message, executor, arrivesAt: this.linkFreeAt + TRANSIT_MS });
   }
 
-  private arrive({ message, agent: number }: Sent): void {
-    const agent = this.agents[number] as ModelAgent;
-    if (message.type === 'pong') agent.echoMs = this.now - message.at;
+  private arrive({ message, executor: number }: InFlightMessage): void {
+    const executor = this.executors[number] as ModelExecutor;
+    if (message.type === 'pong') executor.roundTripMs = this.now - message.at;
     if (message.type !== 'start') return;
-    agent.startsSeen += 1;
-    if (this.now > message.expiresAt) return this.tellResult(agent, message.name, 'not-run', 'expired');
-    agent.runs.push({ name: message.name, endsAt: this.now + WORK_MS });
+    executor.startsSeen += 1;
+    if (this.now > message.expiresAt) return this.sendResult(executor, message.name, 'not-run', 'expired');
+    executor.runs.push({ name: message.name, endsAt: this.now + WORK_MS });
   }
 
-  private stepAgent(agent: ModelAgent): void {
-    while (agent.runs[0] && agent.runs[0].endsAt <= this.now) {
-      const { name } = agent.runs.shift() as Run;
-      this.tellResult(agent, name, 'done', '');
+  private stepExecutor(executor: ModelExecutor): void {
+    while (executor.runs[0] && executor.runs[0].endsAt <= this.now) {
+      const { name } = executor.runs.shift() as Run;
+      this.sendResult(executor, name, 'done', '');
     }
-    if (this.now < agent.nextPingAt) return;
-    agent.nextPingAt += TIMES.pingMs;
-    this.ping(agent);
+    if (this.now < executor.nextPingAt) return;
+    executor.nextPingAt += TIMES.pingMs;
+    this.ping(executor);
   }
 
-  private ping(agent: ModelAgent): void {
+  private ping(executor: ModelExecutor): void {
     const at = this.now;
-    const ping = { at, version: 1, room: this.buildRoom(agent), progress: undefined, echoMs: agent.echoMs };
-    this.dispatcher.handlePing(agent.id, { type: 'ping', ...ping }, at);
+    const ping = {
+      at,
+      version: 1,
+      room: this.buildCapacityReport(executor),
+      progress: undefined,
+      echoMs: executor.roundTripMs,
+    };
+    this.core.handlePing(executor.id, { type: 'ping', ...ping }, at);
     const versions = { version: 1, typicalSpeed: 1 };
-    this.send(agent.id, { type: 'pong', at, ...versions, isWaiting: this.dispatcher.waitingTasks > 0 });
+    this.send(executor.id, { type: 'pong', at, ...versions, isWaiting: this.core.waitingTasks > 0 });
   }
 
-  private tellResult(
-    agent: ModelAgent,
+  private sendResult(
+    executor: ModelExecutor,
     name: AttemptResult['name'],
     end: AttemptResult['end'],
     reason: string,
   ): void {
-    this.dispatcher.handleResult(agent.id, { type: 'result', name, end, reason }, this.now);
-    this.dispatcher.handleCapacity(
-      agent.id,
-      { type: 'room', at: this.now, room: this.buildRoom(agent) },
+    this.core.handleResult(executor.id, { type: 'result', name, end, reason }, this.now);
+    this.core.handleCapacity(
+      executor.id,
+      { type: 'room', at: this.now, room: this.buildCapacityReport(executor) },
       this.now,
     );
   }
 
-  private buildRoom({ id, startsSeen, runs }: ModelAgent): CapacityReport {
+  private buildCapacityReport({ id, startsSeen, runs }: ModelExecutor): CapacityReport {
     const free = { ...CAPACITY, cpuMilli: CAPACITY.cpuMilli - runs.length * STEP.resources.cpuMilli };
     const description = { upstream: id, service: ROUTE.service, labels: [], capacity: CAPACITY };
     return { description, state: 'ready', trust: 'healthy', free, startsSeen, speed: 1 };
@@ -223,14 +230,17 @@
 /**
  * Plays a load that is under the link's rate, a trigger that is over it, and the load again.
  *
- * @param play - rates and loads
+ * @param scenario - rates and loads
  * @returns the jobs of each second, over all dispatchers
  */
-export function runCongestion(play: CongestionPlay): SecondCount[] {
-  const entries = Array.from({ length: play.dispatchers }, (_, index) => new ModelEntry(play, index));
-  for (let now = 0; now < PLAY_MS; now += STEP_MS) for (const entry of entries) entry.step(now);
+export function runCongestion(scenario: CongestionScenario): SecondCount[] {
+  const dispatchers = Array.from(
+    { length: scenario.dispatchers },
+    (_, index) => new ModelDispatcher(scenario, index),
+  );
+  for (let now = 0; now < RUN_MS; now += STEP_MS) for (const dispatcher of dispatchers) dispatcher.step(now);
   const seconds: SecondCount[] = [];
-  for (const { seconds: own } of entries) {
+  for (const { seconds: own } of dispatchers) {
     own.forEach(({ submitted, completed, refused }, at) => {
       const sum = (seconds[at] ??= { submitted: 0, completed: 0, refused: 0 });
       sum.submitted += submitted;
--- a/test/fakes/FakeTimeline.ts
+++ b/test/fakes/FakeTimeline.ts
@@ -2,7 +2,7 @@
 
 import type { Timeline } from '../../src/_lib/Timeline.js';
 
-interface Happening {
+interface TimedEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
@@ -12,7 +12,7 @@
 export class FakeTimeline implements Timeline {
   private time = 0;
   private count = 0;
-  private readonly queue = new TinyQueue<Happening>([], (a, b) => a.at - b.at || a.order - b.order);
+  private readonly queue = new TinyQueue<TimedEvent>([], (a, b) => a.at - b.at || a.order - b.order);
 
   now(): number {
     return this.time;
@@ -25,8 +25,8 @@
 
   /** Runs what happens until some time, or until something holds that is looked at after each. */
   runUntil(untilMs: number, holds: () => boolean = () => false): void {
-    while (this.queue.length > 0 && (this.queue.peek() as Happening).at <= untilMs) {
-      const next = this.queue.pop() as Happening;
+    while (this.queue.length > 0 && (this.queue.peek() as TimedEvent).at <= untilMs) {
+      const next = this.queue.pop() as TimedEvent;
       this.time = next.at;
       next.run();
       if (holds()) return;
--- a/test/fakes/FakeUpstream.ts
+++ b/test/fakes/FakeUpstream.ts
@@ -18,7 +18,7 @@
 } from '../../src/ports/UpstreamApi.js';
 
 /** Step in which a waiting renewal looks for an end, ms. */
-const LOOK_MS = 5;
+const POLL_MS = 5;
 /** Longest lease; longer ones are cut, ms. */
 const MAX_LEASE_MS = 1_000;
 
@@ -86,22 +86,22 @@
   }
 
   override async start(order: RunStart, timeoutMs: number): Promise<OrderAnswer<StartVerdict>> {
-    const fate = await this.travel(timeoutMs);
+    const fate = await this.takeFate(timeoutMs);
     if (this.isReplaced) return { verdict: 'other-life', clockMs: undefined };
     if (fate === 'late') void this.clock.sleep(this.lateMs).then(() => this.applyLate(order));
     const isDone = fate === 'answered' || fate === 'unanswered';
     const verdict = isDone ? this.applyStart(order) : 'started';
-    if (fate !== 'answered') await this.giveUp(timeoutMs);
+    if (fate !== 'answered') await this.timeOut(timeoutMs);
     return { verdict, clockMs: this.clockMs };
   }
 
   /** Carries out a start, as a copy that was on its way for long would be. */
   applyStart(order: RunStart): StartVerdict {
-    this.work();
+    this.update();
     if (order.fencingToken < this.token) return 'fenced';
     this.token = order.fencingToken;
     if (order.leaseUntilMs < this.clockMs) return 'late';
-    this.grant(order.leaseUntilMs);
+    this.extendLease(order.leaseUntilMs);
     const key = buildKey(order.name);
     const run = this.running.get(key);
     if (run?.name.run === order.name.run) return 'started';
@@ -115,7 +115,7 @@
     return 'started';
   }
 
-  private grant(leaseUntilMs: number): void {
+  private extendLease(leaseUntilMs: number): void {
     this.leaseUntil = Math.max(this.leaseUntil, Math.min(leaseUntilMs, this.clockMs + MAX_LEASE_MS));
   }
 
@@ -129,34 +129,34 @@
     timeoutMs: number,
   ): Promise<OrderAnswer<StopVerdict>> {
     this.stops += 1;
-    const fate = await this.travel(timeoutMs);
+    const fate = await this.takeFate(timeoutMs);
     if (this.isReplaced) return { verdict: 'other-life', clockMs: undefined };
     if (fencingToken < this.token) return { verdict: 'fenced', clockMs: this.clockMs };
     if (fate === 'answered' || fate === 'unanswered') this.applyStop(name);
-    if (fate !== 'answered') await this.giveUp(timeoutMs);
+    if (fate !== 'answered') await this.timeOut(timeoutMs);
     return { verdict: 'accepted', clockMs: this.clockMs };
   }
 
   override async renew(renewal: LeaseRenewal, timeoutMs: number): Promise<LeaseAnswer> {
     this.renewals += 1;
     this.checkListens();
-    if (this.silent) await this.giveUp(timeoutMs);
+    if (this.silent) await this.timeOut(timeoutMs);
     if (this.lostRenewals > 0) {
       this.lostRenewals -= 1;
-      await this.giveUp(timeoutMs);
+      await this.timeOut(timeoutMs);
     }
     if (this.isReplaced) return { verdict: 'other-life' };
-    this.work();
+    this.update();
     if (renewal.fencingToken < this.token) return { verdict: 'fenced', clockMs: this.clockMs };
     this.token = renewal.fencingToken;
-    this.grant(renewal.leaseUntilMs ?? 0);
+    this.extendLease(renewal.leaseUntilMs ?? 0);
     while (this.ended[0] && this.ended[0].sequence <= renewal.lastSequence) this.ended.shift();
     const until = this.clock.now() + renewal.waitMs;
     while (this.ended.length === 0 && this.clock.now() < until) {
-      await this.clock.sleep(LOOK_MS);
+      await this.clock.sleep(POLL_MS);
       this.checkListens();
-      if (this.silent) await this.giveUp(timeoutMs);
-      this.work();
+      if (this.silent) await this.timeOut(timeoutMs);
+      this.update();
     }
     const running = [...this.running.values()].map(({ name, workMs }) => {
       return { name, percent: Math.floor(Math.min(99, (workMs / this.taskMs) * 100)) };
@@ -176,7 +176,7 @@
   }
 
   private applyStop(name: RunName): void {
-    this.work();
+    this.update();
     const key = buildKey(name);
     this.highestRun.set(key, Math.max(name.run, this.highestRun.get(key) ?? 0));
     if (this.running.get(key)?.name.run === name.run) this.end(name, 'stopped');
@@ -184,10 +184,10 @@
 
   /** Lets tasks end and leases run out up to now. */
   applyTime(): void {
-    this.work();
+    this.update();
   }
 
-  private work(): void {
+  private update(): void {
     const now = this.clock.now();
     const lapsed = this.clockMs > this.leaseUntil;
     for (const run of [...this.running.values()]) {
@@ -203,9 +203,9 @@
     this.ended.push({ sequence: this.sequence, name, end });
   }
 
-  private async travel(timeoutMs: number): Promise<OrderFate> {
+  private async takeFate(timeoutMs: number): Promise<OrderFate> {
     this.checkListens();
-    if (this.silent) await this.giveUp(timeoutMs);
+    if (this.silent) await this.timeOut(timeoutMs);
     return this.fates.shift() ?? 'answered';
   }
 
@@ -219,7 +219,7 @@
     if (this.refuses) throw new ConnectionRefusedError('nobody listens');
   }
 
-  private async giveUp(timeoutMs: number): Promise<never> {
+  private async timeOut(timeoutMs: number): Promise<never> {
     await this.clock.sleep(timeoutMs);
     throw new Error('no answer');
   }
--- a/test/fakes/FakeWorld.ts
+++ b/test/fakes/FakeWorld.ts
@@ -159,7 +159,7 @@
     const deadlineMs = number % 4 === 1 ? TIGHT_DEADLINE_MS : undefined;
     const request = { job, createdAt, event: 'opening', deadlineMs, tasks, caller: '', team: '' };
     node.submit(request, caller, this.now);
-    this.carryOut(process);
+    this.applyEffects(process);
   }
 
   /** Ends a process; nothing of it is kept. */
@@ -169,7 +169,7 @@
     process.alive = false;
     for (const key of [...this.sessions.keys()]) {
       const link = this.sessions.get(key);
-      if (link && (link.left === this.peerOf(process) || link.right === this.peerOf(process)))
+      if (link && (link.left === this.buildPeerName(process) || link.right === this.buildPeerName(process)))
         this.breakLink(key);
     }
   }
@@ -192,7 +192,7 @@
     if (!process?.alive || !(process.node instanceof AgentNode) || process.leftAt > 0) return;
     process.leftAt = this.now;
     process.node.leave();
-    this.carryOut(process);
+    this.applyEffects(process);
   }
 
   /** Makes an agent's upstream refuse connections for a while. */
@@ -201,10 +201,10 @@
     if (!process?.alive || !(process.node instanceof AgentNode)) return;
     const { node } = process;
     node.setUpstreamDown(true);
-    this.carryOut(process);
+    this.applyEffects(process);
     this.schedule(ms, () => {
       node.setUpstreamDown(false);
-      if (process.node === node && process.alive) this.carryOut(process);
+      if (process.node === node && process.alive) this.applyEffects(process);
     });
   }
 
@@ -287,7 +287,7 @@
       if (!process.alive || process.incarnation !== incarnation) return;
       if (this.now < process.pausedUntil) return this.schedule(process.pausedUntil - this.now, turn);
       run();
-      this.carryOut(process);
+      this.applyEffects(process);
       this.schedule(every, turn);
     };
     this.schedule(Math.floor(this.nextRandom() * every), turn);
@@ -298,7 +298,7 @@
     this.events.push({ at: this.now + delay, order: this.order, run });
   }
 
-  private peerOf(process: Process): string {
+  private buildPeerName(process: Process): string {
     return `${process.id}@${process.incarnation}`;
   }
 
@@ -323,7 +323,7 @@
       const silent = other.pausedUntil - this.now > KEEPALIVE_MS;
       const reachable = other.alive && !silent && !this.isCut(process, other);
       if (link) {
-        const current = link.left === this.peerOf(process) && link.right === this.peerOf(other);
+        const current = link.left === this.buildPeerName(process) && link.right === this.buildPeerName(other);
         if (!reachable || !current) this.breakLink(key);
         continue;
       }
@@ -335,9 +335,9 @@
   private openLink(key: string, left: Process, right: Process): void {
     this.order += 1;
     const session = this.order;
-    this.sessions.set(key, { left: this.peerOf(left), right: this.peerOf(right), session });
-    this.hand(left, right, session, key, (node) => this.acceptHello(node, left.node.buildHello()));
-    this.hand(right, left, session, key, (node) => this.acceptHello(node, right.node.buildHello()));
+    this.sessions.set(key, { left: this.buildPeerName(left), right: this.buildPeerName(right), session });
+    this.transmit(left, right, session, key, (node) => this.acceptHello(node, left.node.buildHello()));
+    this.transmit(right, left, session, key, (node) => this.acceptHello(node, right.node.buildHello()));
   }
 
   private acceptHello(node: EntryNode | AgentNode, hello: Hello): void {
@@ -354,7 +354,7 @@
       [link.right, link.left],
     ] as const) {
       const process = this.processes.get(own.slice(0, own.lastIndexOf('@')));
-      if (!process?.alive || this.peerOf(process) !== own) continue;
+      if (!process?.alive || this.buildPeerName(process) !== own) continue;
       this.schedule(20, () => {
         if (this.sessions.has(key)) return;
         process.node.closeLink(other, this.now);
@@ -363,14 +363,14 @@
   }
 
   /** Carries out what a process wants, and checks each start. */
-  private carryOut(process: Process): void {
+  private applyEffects(process: Process): void {
     const effects =
       process.node instanceof EntryNode ? process.node.takeEffects(this.now) : process.node.takeEffects();
     for (const effect of effects) {
       if (effect.type === 'send') this.send(process, effect.to, effect.message);
       else if (effect.type === 'append') this.append(process, effect.record);
       else if (effect.type === 'run') this.runTask(process, effect.task);
-      else if (effect.type === 'answer') this.takeAnswer(effect.caller, effect.answer);
+      else if (effect.type === 'answer') this.handleAnswer(effect.caller, effect.answer);
     }
   }
 
@@ -386,7 +386,7 @@
   private send(from: Process, to: string, message: Message): void {
     this.messages += 1;
     const other = this.processes.get(to.slice(0, to.lastIndexOf('@')));
-    if (!other || this.peerOf(other) !== to) return;
+    if (!other || this.buildPeerName(other) !== to) return;
     const [left, right] = from.node instanceof EntryNode ? [from, other] : [other, from];
     let key = `${left.id}|${right.id}`;
     let link = this.sessions.get(key);
@@ -399,14 +399,14 @@
     const { faults } = this.options;
     const times = this.nextRandom() < faults.drop ? 0 : this.nextRandom() < faults.repeat ? 2 : 1;
     for (let i = 0; i < times; i += 1) {
-      this.hand(from, other, link.session, key, (node, now) =>
-        node.receive(this.peerOf(from), copy as Message, now),
+      this.transmit(from, other, link.session, key, (node, now) =>
+        node.receive(this.buildPeerName(from), copy as Message, now),
       );
     }
   }
 
   /** Delivers to a process over a link session, late sometimes, and after its pause. */
-  private hand(
+  private transmit(
     from: Process,
     to: Process,
     session: number,
@@ -421,7 +421,7 @@
       if (this.now < to.pausedUntil) return this.schedule(to.pausedUntil - this.now, deliver);
       if (this.sessions.get(key)?.session !== session) return;
       run(to.node, this.now);
-      this.carryOut(to);
+      this.applyEffects(to);
     };
     this.schedule(delay, deliver);
   }
@@ -443,12 +443,12 @@
       if (this.now < process.pausedUntil) return this.schedule(process.pausedUntil - this.now, end);
       if (fate < 0.01) node.endTask(task, { type: 'lost', reason: 'connection-broken' }, this.now);
       else node.endTask(task, { type: 'answered', status: 200, body }, this.now);
-      this.carryOut(process);
+      this.applyEffects(process);
     };
     this.schedule(50 + this.nextRandom() * 300, end);
   }
 
-  private takeAnswer(caller: string, answer: JobAnswer): void {
+  private handleAnswer(caller: string, answer: JobAnswer): void {
     const submission = this.submissions[Number(caller)] as Submission;
     if (submission.answer) throw new PromiseBroken(`${submission.job} was answered twice on one connection`);
     submission.answer = answer;
--- a/test/fakes/FaultSoak.ts
+++ b/test/fakes/FaultSoak.ts
@@ -8,11 +8,11 @@
 import { createRandom } from '../../src/_lib/createRandom.js';
 import { PlatformBench } from './PlatformBench.js';
 import type { CallerAnswer } from './PlatformBench.js';
-import { dealDomains, drawFault, SOAK_DOMAINS } from './soakFaults.js';
+import { assignDomains, drawFault, SOAK_DOMAINS } from './soakFaults.js';
 
 /** Time that a caller keeps before it submits a job again elsewhere, ms. */
-const RESUBMIT_MS = 1_300;
-const PATIENCE_MS = 2_500;
+const RESUBMIT_DELAY_MS = 1_300;
+const CALLER_TIMEOUT_MS = 2_500;
 /** Times that a caller submits a job at most. */
 const SUBMISSIONS = 3;
 /** Between two jobs, and two faults, at the most, ms. */
@@ -66,7 +66,7 @@
   constructor(private readonly options: SoakOptions) {
     this.bench = new PlatformBench(options.entries, options.agents, TARGET_LATENCY_MS, true);
     this.nextRandom = createRandom(options.seed);
-    if (this.hasDomains) this.bench.domains = dealDomains(options.agents);
+    if (this.hasDomains) this.bench.domains = assignDomains(options.agents);
   }
 
   private get hasDomains(): boolean {
@@ -78,21 +78,21 @@
     try {
       await this.bench.start();
       const until = performance.now() + this.options.faultMs;
-      await Promise.all([this.submitUntil(until), this.disturbUntil(until)]);
+      await Promise.all([this.submitUntil(until), this.injectFaultsUntil(until)]);
       await Promise.all(this.pending);
       await this.checkRecovery();
       if (this.hasDomains) await this.checkEvacuation();
       this.checkAnswers();
-      if (this.broken.length > 0) this.faults.push(`logs: ${await this.bench.keepLogs()}`);
+      if (this.broken.length > 0) this.faults.push(`logs: ${await this.bench.saveLogs()}`);
     } catch (cause) {
-      const logs = await this.bench.keepLogs();
+      const logs = await this.bench.saveLogs();
       throw new Error(`${String(cause)}; logs: ${logs}; ${this.faults.join(', ')}`, { cause });
     } finally {
       await this.bench.stop();
     }
-    const { doubled, beyondRoom } = this.bench;
+    const { doubled, beyondCapacity } = this.bench;
     for (const task of doubled) this.broken.push(`${task} ran twice at once`);
-    for (const task of beyondRoom) this.broken.push(`${task} was started beyond the room`);
+    for (const task of beyondCapacity) this.broken.push(`${task} was started beyond the room`);
     return this.report();
   }
 
@@ -100,33 +100,33 @@
     while (performance.now() < until) {
       const job: SoakJob = { id: `job${this.jobs.length}`, answers: [] };
       this.jobs.push(job);
-      this.pending.push(this.pursue(job));
+      this.pending.push(this.submitUntilAnswered(job));
       await sleep(this.nextRandom() * JOB_GAP_MS);
     }
   }
 
   /** Submits a job, and again elsewhere after no answer, 502 or 504, as callers of the platform do. */
-  private async pursue(job: SoakJob): Promise<void> {
+  private async submitUntilAnswered(job: SoakJob): Promise<void> {
     const tasks = 1 + Math.floor(this.nextRandom() * MAX_TASKS);
     const taskMs = 20 + Math.floor(this.nextRandom() * MAX_TASK_MS);
     let at = Math.floor(this.nextRandom() * this.options.entries);
     for (let submission = 0; submission < SUBMISSIONS; submission += 1) {
-      const leave = AbortSignal.timeout(PATIENCE_MS);
-      const entry = `entry-${1 + (at % this.options.entries)}`;
-      const answer = await this.bench.submit(entry, job.id, tasks, taskMs, PATIENCE_MS, leave);
+      const leave = AbortSignal.timeout(CALLER_TIMEOUT_MS);
+      const dispatcher = `entry-${1 + (at % this.options.entries)}`;
+      const answer = await this.bench.submit(dispatcher, job.id, tasks, taskMs, CALLER_TIMEOUT_MS, leave);
       job.answers.push(answer);
       if (answer.status !== 0 && answer.status !== 502 && answer.status !== 504) return;
-      await sleep(RESUBMIT_MS);
+      await sleep(RESUBMIT_DELAY_MS);
       at += 1;
     }
   }
 
-  private async disturbUntil(until: number): Promise<void> {
+  private async injectFaultsUntil(until: number): Promise<void> {
     const healed: Promise<void>[] = [];
     while (performance.now() < until) {
       const fault = drawFault(this.bench, this.options, this.nextRandom, this.options.kinds);
       this.faults.push(fault.name);
-      healed.push(fault.play());
+      healed.push(fault.inject());
       await sleep(this.nextRandom() * FAULT_GAP_MS);
     }
     await Promise.all(healed);
@@ -134,13 +134,13 @@
 
   /** Once nothing is disturbed any more, every entry serves, and nothing runs that nobody waits for. */
   private async checkRecovery(): Promise<void> {
-    const { entries, recoveryMs } = this.options;
+    const { entries: dispatchers, recoveryMs } = this.options;
     const until = performance.now() + recoveryMs;
-    for (let number = 1; number <= entries; number += 1) {
+    for (let number = 1; number <= dispatchers; number += 1) {
       let served = false;
       for (let attempt = 0; !served && performance.now() < until; attempt += 1) {
         const id = `after${number}x${attempt}`;
-        served = (await this.bench.submit(`entry-${number}`, id, 2, 20, PATIENCE_MS)).status === 200;
+        served = (await this.bench.submit(`entry-${number}`, id, 2, 20, CALLER_TIMEOUT_MS)).status === 200;
         if (!served) await sleep(100);
       }
       if (!served) this.broken.push(`entry-${number} does not serve ${recoveryMs} ms after the last fault`);
@@ -150,16 +150,16 @@
 
   /** With nothing disturbed, an emptied failure domain gets nothing, and all of it is served elsewhere. */
   private async checkEvacuation(): Promise<void> {
-    const { entries, agents } = this.options;
+    const { entries: dispatchers, agents: executors } = this.options;
     const [domain] = SOAK_DOMAINS;
     this.bench.store.putEvacuation(domain);
     await sleep(EVACUATE_MS);
-    const runners = Array.from({ length: agents }, (_, at) => at + 1);
+    const runners = Array.from({ length: executors }, (_, at) => at + 1);
     const emptied = runners.filter((number) => this.bench.domains[`agent-${number}`] === domain);
     const count = (): number =>
-      emptied.reduce((sum, number) => sum + (this.bench.startsAt.get(`i-${number}`) ?? 0), 0);
+      emptied.reduce((sum, number) => sum + (this.bench.startsByRunner.get(`i-${number}`) ?? 0), 0);
     const before = count();
-    for (let number = 1; number <= entries; number += 1) {
+    for (let number = 1; number <= dispatchers; number += 1) {
       for (let at = 0; at < JOBS_AFTER; at += 1) {
         const { status } = await this.bench.submit(`entry-${number}`, `emptied${number}x${at}`, 2, 20);
         if (status !== 200) this.broken.push(`entry-${number} answers ${status} while ${domain} is emptied`);
--- a/test/fakes/LoopbackProxy.ts
+++ b/test/fakes/LoopbackProxy.ts
@@ -25,10 +25,10 @@
   private schedule(): void {
     const next = this.waiting[0];
     if (!next || this.timer) return;
-    this.timer = setTimeout(() => this.drain(), Math.max(0, next.at - performance.now()));
+    this.timer = setTimeout(() => this.flush(), Math.max(0, next.at - performance.now()));
   }
 
-  private drain(): void {
+  private flush(): void {
     this.timer = undefined;
     while (this.waiting[0] && this.waiting[0].at <= performance.now()) this.waiting.shift()?.run();
     this.schedule();
@@ -36,7 +36,7 @@
 }
 
 /** Parts in which bytes pass a slow proxy, ms. */
-const PART_MS = 10;
+const SLICE_MS = 10;
 
 interface Pair {
   readonly near: Socket;
@@ -105,7 +105,7 @@
   }
 
   /** Has all open connections carry nothing any more, without a reset; new ones work. */
-  silenceOpen(): void {
+  silenceConnections(): void {
     for (const pair of this.pairs) {
       pair.isSilent = true;
       pair.near.pause();
@@ -131,7 +131,7 @@
   }
 
   private split(bytes: Buffer): Buffer[] {
-    const length = Math.ceil(Math.min(bytes.length, this.bytesPerMs * PART_MS));
+    const length = Math.ceil(Math.min(bytes.length, this.bytesPerMs * SLICE_MS));
     const count = Math.ceil(bytes.length / length);
     return Array.from({ length: count }, (_, at) => bytes.subarray(at * length, (at + 1) * length));
   }
--- a/test/fakes/PlatformBench.ts
+++ b/test/fakes/PlatformBench.ts
@@ -18,7 +18,7 @@
 
 const BINARY = fileURLToPath(new URL('../../src/bin/marblehall.js', import.meta.url));
 const WAIT_MS = 30_000;
-const LOOK_MS = 20;
+const POLL_MS = 20;
 const SERVICE = 'service';
 const HOST = 'a.example';
 const TARGET_LATENCY_MS = 60;
@@ -49,17 +49,17 @@
   /** Tasks that ran twice at once. */
   readonly doubled: string[] = [];
   /** Tasks that were started beyond their runner's room. */
-  readonly beyondRoom: string[] = [];
+  readonly beyondCapacity: string[] = [];
   /** Version of the newest configuration. */
   version = 1;
   /** Most tasks that were at work at one runner at once. */
-  mostAtOnce = 0;
+  maxRunning = 0;
   /** Settings of daemons that are not those of every test; to be set before the start. */
   extraSettings: Readonly<Record<string, unknown>> = {};
   /** Failure domains of daemons that are not in the one of all others; to be set before the start. */
   domains: Readonly<Record<string, string>> = {};
   /** Starts at each runner. */
-  readonly startsAt = new Map<string, number>();
+  readonly startsByRunner = new Map<string, number>();
   /** Daemons that are being started again. */
   readonly restarting = new Set<string>();
   /** Tasks at work by runner. */
@@ -72,8 +72,8 @@
   private ports = { link: 0, front: 0, ready: 0, control: 0 };
 
   constructor(
-    private readonly entries: number,
-    private readonly agents: number,
+    private readonly dispatchers: number,
+    private readonly executors: number,
     /** Time that queues allow beyond the work, ms. */
     private readonly targetLatencyMs = TARGET_LATENCY_MS,
     /** Whether links to entries, orders to runners and calls to the store pass proxies. */
@@ -88,16 +88,17 @@
     const [link = 0, front = 0, ready = 0, control = 0] = await findPorts(4);
     this.ports = { link, front, ready, control };
     this.putConfiguration(['/q/']);
-    for (let number = 1; number <= this.entries; number += 1) {
+    for (let number = 1; number <= this.dispatchers; number += 1) {
       const id = `entry-${number}`;
       if (this.isProxied) await this.addProxy(id, `${findIp(id)}:${link}`, link);
       await this.startDaemon(id);
     }
-    for (let number = 1; number <= this.agents; number += 1) {
+    for (let number = 1; number <= this.executors; number += 1) {
       await this.startDaemon(`agent-${number}`);
       await this.startRunner(number);
     }
-    for (let number = 1; number <= this.entries; number += 1) await this.waitUntilReady(`entry-${number}`);
+    for (let number = 1; number <= this.dispatchers; number += 1)
+      await this.waitUntilReady(`entry-${number}`);
   }
 
   /** Ends everything that was started here. */
@@ -130,9 +131,9 @@
     const ip = findIp(id);
     const { link, front, ready, control } = this.ports;
     const settings = path.join(this.directory, `${id}.json`);
-    const findSeed = (entry: string): string => (this.isProxied ? findProxyIp(entry) : findIp(entry));
+    const findSeed = (name: string): string => (this.isProxied ? findProxyIp(name) : findIp(name));
     const seeds = Array.from(
-      { length: this.entries },
+      { length: this.dispatchers },
       (_, at) => `${findSeed(`entry-${at + 1}`)}:${control}`,
     );
     const value = {
@@ -159,8 +160,8 @@
   }
 
   /** Has all open connections that pass proxies carry nothing any more; new ones work. */
-  silenceOpen(): void {
-    for (const proxy of this.proxies.values()) proxy.silenceOpen();
+  silenceConnections(): void {
+    for (const proxy of this.proxies.values()) proxy.silenceConnections();
   }
 
   /** Sends a signal to a daemon. */
@@ -187,7 +188,7 @@
   }
 
   /** Writes what every daemon has logged, and how it ended, into a directory of its own, and returns that. */
-  async keepLogs(): Promise<string> {
+  async saveLogs(): Promise<string> {
     const directory = await mkdtemp(path.join(tmpdir(), 'marblehall-logs-'));
     for (const [id, { child, output }] of this.daemons) {
       const end = `exit ${child.exitCode} ${child.signalCode}\n`;
@@ -237,11 +238,11 @@
   }
 
   /** Sends a heartbeat to an agent, as another writer would; returns the status of the answer. */
-  async sendHeartbeat(agent: string, id: string, body: object): Promise<number> {
+  async sendHeartbeat(executor: string, id: string, body: object): Promise<number> {
     const headers = { 'content-type': 'application/json' };
     const path = `${BEAT_PREFIX}${id}`;
     const { control } = this.ports;
-    return (await send(findIp(agent), control, 'POST', path, JSON.stringify(body), headers)).status;
+    return (await send(findIp(executor), control, 'POST', path, JSON.stringify(body), headers)).status;
   }
 
   /** Cancels a job. */
@@ -266,9 +267,9 @@
 
   /** Waits until something holds; fails after a time that only a broken program takes. */
   async waitFor(holds: () => boolean | Promise<boolean>, what = 'it'): Promise<void> {
-    for (let waited = 0; waited < WAIT_MS; waited += LOOK_MS) {
+    for (let waited = 0; waited < WAIT_MS; waited += POLL_MS) {
       if (await holds()) return;
-      await sleep(LOOK_MS);
+      await sleep(POLL_MS);
     }
     throw new Error(`${what} does not come to hold`);
   }
@@ -284,13 +285,13 @@
         noteStart: (task, id) => {
           const load = (this.loads.get(id) ?? 0) + 1;
           this.loads.set(id, load);
-          this.mostAtOnce = Math.max(this.mostAtOnce, load);
-          this.startsAt.set(id, (this.startsAt.get(id) ?? 0) + 1);
-          if (load > RUNNER_TASKS) this.beyondRoom.push(task);
+          this.maxRunning = Math.max(this.maxRunning, load);
+          this.startsByRunner.set(id, (this.startsByRunner.get(id) ?? 0) + 1);
+          if (load > RUNNER_TASKS) this.beyondCapacity.push(task);
           this.starts.set(task, (this.starts.get(task) ?? 0) + 1);
-          const atWork = (this.atWork.get(task) ?? 0) + 1;
-          this.atWork.set(task, atWork);
-          if (atWork > 1) this.doubled.push(task);
+          const running = (this.atWork.get(task) ?? 0) + 1;
+          this.atWork.set(task, running);
+          if (running > 1) this.doubled.push(task);
         },
         noteEnd: (task, id) => {
           this.loads.set(id, (this.loads.get(id) ?? 1) - 1);
--- a/test/fakes/ProcessGate.ts
+++ b/test/fakes/ProcessGate.ts
@@ -21,7 +21,7 @@
 const STEP_MS = 5;
 
 /** Time of day when the runs begin, Unix ms. */
-const NOON_MS = 1_700_000_000_000;
+const FIRST_TIME_OF_DAY_MS = 1_700_000_000_000;
 /** What a VM's boot clock counts in, ms. */
 const BOOT_STEP_MS = 10;
 
@@ -45,7 +45,7 @@
     this.frozenUntil = suspended.until;
     this.clock = new BootClock(() => undefined, {
       readSteady: () => this.readSteady(),
-      readTimeOfDay: () => NOON_MS + base.now() + this.steppedMs,
+      readTimeOfDay: () => FIRST_TIME_OF_DAY_MS + base.now() + this.steppedMs,
       readBoot: () => Math.floor(base.now() / BOOT_STEP_MS) * BOOT_STEP_MS,
     });
   }
@@ -102,7 +102,7 @@
 }
 
 /** Orders leave, and answers reach, a process only while it runs. */
-export class GatedExecutor extends UpstreamApi {
+export class GatedUpstreamApi extends UpstreamApi {
   constructor(
     private readonly fake: UpstreamApi,
     private readonly gate: ProcessGate,
--- a/test/fakes/ScarceCapacityModel.ts
+++ b/test/fakes/ScarceCapacityModel.ts
@@ -23,9 +23,9 @@
 const TICK_MS = 40;
 const PING_MS = 170;
 const ORPHAN_MS = 1_240;
-const AGENTS = 6;
-const AGENT_CPU = 64_000;
-const CAPACITY = { cpuMilli: AGENT_CPU, memoryMb: 1_000_000, gpus: 0 };
+const EXECUTORS = 6;
+const EXECUTOR_CPU = 64_000;
+const CAPACITY = { cpuMilli: EXECUTOR_CPU, memoryMb: 1_000_000, gpus: 0 };
 const TASK_CPU = 5_800;
 const TARGET_LATENCY_MS = 61;
 /** Time that callers wait beyond the work, ms. */
@@ -60,7 +60,7 @@
 
 /** Agents that are cut off for a time. */
 export interface ModelOutage {
-  readonly agents: number;
+  readonly executors: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
@@ -73,10 +73,10 @@
   /** How far estimates are off, as a share. */
   readonly estimateOff?: number;
   /** Agents, of six, whose upstreams take 1.5 times as long. */
-  readonly slowAgents?: number;
+  readonly slowExecutors?: number;
   readonly outage?: ModelOutage;
   /** Agents whose failure domain the operators empty, from a time on. */
-  readonly emptied?: { readonly agents: number; readonly fromMs: number };
+  readonly emptied?: { readonly executors: number; readonly fromMs: number };
   /** Rates of all queues against the calm ones. */
   readonly load?: number;
   readonly createOrder?: () => TaskOrder;
@@ -90,7 +90,7 @@
   /** Work by its true times, core-ms. */
   readonly work: number;
   /** Time that its longest task works, ms. */
-  readonly chainMs: number;
+  readonly longestTaskMs: number;
   readonly objectiveMs: number;
   readonly tasks: number;
   outcome: JobOutcome | undefined;
@@ -120,10 +120,10 @@
   readonly endsAt: number;
 }
 
-interface ModelAgent {
+interface ModelExecutor {
   readonly name: string;
   id: string;
-  life: number;
+  incarnation: number;
   startsSeen: number;
   runs: ModelRun[];
   readonly slowness: number;
@@ -137,23 +137,23 @@
   /** Moments at which an agent had room for a task that waited after placing, ms. */
   readonly idleAt: number[] = [];
   readonly dispatcher: Dispatcher;
-  private readonly agents: ModelAgent[] = [];
+  private readonly executors: ModelExecutor[] = [];
   private readonly random: () => number;
   private readonly workOf = new Map<string, readonly number[]>();
   private now = 0;
   private readonly nextAt: number[] = [];
 
-  constructor(private readonly play: ScarceCapacityRun) {
-    this.random = createRandom(play.seed);
+  constructor(private readonly scenario: ScarceCapacityRun) {
+    this.random = createRandom(scenario.seed);
     this.dispatcher = new Dispatcher(
       {
         pingMs: PING_MS,
         bounds: new JobBounds(WIDE_LIMITS),
         placement: new SpeedPlacement(1),
         window: new OpenWindow(),
-        nextRandom: createRandom(play.seed + 1),
-        ...(play.createOrder ? { order: play.createOrder() } : {}),
-        ...(play.createAdmission ? { admission: play.createAdmission() } : {}),
+        nextRandom: createRandom(scenario.seed + 1),
+        ...(scenario.createOrder ? { order: scenario.createOrder() } : {}),
+        ...(scenario.createAdmission ? { admission: scenario.createAdmission() } : {}),
       },
       {
         send: (id, message) => this.handleOrder(id, message),
@@ -161,12 +161,12 @@
         noteOutcome: () => undefined,
       },
     );
-    for (let number = 0; number < AGENTS; number += 1) {
-      const slowness = number < (play.slowAgents ?? 0) ? 1.5 : 1;
-      const base = { id: '', life: 0, startsSeen: 0, runs: [], isOut: false, nextPingAt: 0 };
-      const agent: ModelAgent = { ...base, name: `a${number}`, slowness };
-      this.agents.push(agent);
-      this.link(agent);
+    for (let number = 0; number < EXECUTORS; number += 1) {
+      const slowness = number < (scenario.slowExecutors ?? 0) ? 1.5 : 1;
+      const base = { id: '', incarnation: 0, startsSeen: 0, runs: [], isOut: false, nextPingAt: 0 };
+      const executor: ModelExecutor = { ...base, name: `a${number}`, slowness };
+      this.executors.push(executor);
+      this.link(executor);
     }
     this.dispatcher.tick(0);
     for (const queue of QUEUES) this.nextAt.push(this.drawGap(queue));
@@ -174,15 +174,15 @@
 
   /** Plays to the end, and until all jobs have their answer. */
   run(): this {
-    for (this.now = 1; this.now < this.play.lengthMs + 4_000; this.now += 1) this.step();
+    for (this.now = 1; this.now < this.scenario.lengthMs + 4_000; this.now += 1) this.step();
     return this;
   }
 
   private step(): void {
-    const { outage, emptied, lengthMs } = this.play;
-    this.agents.forEach((agent, number) => {
-      if (outage && number < outage.agents) this.stepOutage(agent, outage);
-      if (!agent.isOut) this.stepAgent(agent);
+    const { outage, emptied, lengthMs } = this.scenario;
+    this.executors.forEach((executor, number) => {
+      if (outage && number < outage.executors) this.stepOutage(executor, outage);
+      if (!executor.isOut) this.stepExecutor(executor);
     });
     if (emptied && this.now === emptied.fromMs) this.dispatcher.setEmptied(['emptied']);
     QUEUES.forEach((queue, at) => {
@@ -193,23 +193,23 @@
     });
     if (this.now % TICK_MS === 0) this.dispatcher.tick(this.now);
     this.dispatcher.place(this.now);
-    this.noteIdleRoom();
+    this.recordIdleCapacity();
   }
 
   /** Starts arrive at once here, so that what the agents have left after placing is what the dispatcher left. */
-  private noteIdleRoom(): void {
+  private recordIdleCapacity(): void {
     if (this.dispatcher.waitingTasks === 0) return;
-    const hasRoom = this.agents.some(
-      (agent) => !agent.isOut && this.buildRoom(agent).free.cpuMilli >= TASK_CPU,
+    const hasRoom = this.executors.some(
+      (executor) => !executor.isOut && this.buildCapacityReport(executor).free.cpuMilli >= TASK_CPU,
     );
     if (hasRoom) this.idleAt.push(this.now);
   }
 
   private drawGap({ name, perSecond }: ModelQueue): number {
-    const bursts = this.play.bursts.filter(
+    const bursts = this.scenario.bursts.filter(
       ({ queue, fromMs, untilMs }) => queue === name && this.now >= fromMs && this.now < untilMs,
     );
-    const factor = bursts.reduce((product, burst) => product * burst.factor, this.play.load ?? 1);
+    const factor = bursts.reduce((product, burst) => product * burst.factor, this.scenario.load ?? 1);
     return (-Math.log(1 - this.random()) * 1_000) / (perSecond * factor);
   }
 
@@ -224,13 +224,13 @@
     const count = Math.max(1, Math.min(queue.width * 4, Math.round(queue.width * this.drawFactor(SPREAD))));
     const workMs = Math.min(queue.workMs * 4, queue.workMs * this.drawFactor(SPREAD));
     const works = Array.from({ length: count }, () => workMs * (1 + 0.15 * (2 * this.random() - 1)));
-    const off = 1 + (this.play.estimateOff ?? 0) * (2 * this.random() - 1);
+    const off = 1 + (this.scenario.estimateOff ?? 0) * (2 * this.random() - 1);
     const chainMs = Math.max(...works);
     const job: ScarceCapacityJob = {
       queue: queue.name,
       arrivedAt: this.now,
       work: (works.reduce((sum, work) => sum + work, 0) * TASK_CPU) / 1_000,
-      chainMs,
+      longestTaskMs: chainMs,
       objectiveMs: ROUTE.stretch * chainMs + TARGET_LATENCY_MS,
       tasks: count,
       outcome: undefined,
@@ -254,15 +254,15 @@
     this.dispatcher.submit({ id, route, spec: '', steps, patienceMs }, { answer }, this.now);
   }
 
-  private link(agent: ModelAgent): void {
-    agent.life += 1;
-    agent.startsSeen = 0;
-    const isEmptied = this.agents.indexOf(agent) < (this.play.emptied?.agents ?? 0);
-    agent.id = this.dispatcher.handleHello(
+  private link(executor: ModelExecutor): void {
+    executor.incarnation += 1;
+    executor.startsSeen = 0;
+    const isEmptied = this.executors.indexOf(executor) < (this.scenario.emptied?.executors ?? 0);
+    executor.id = this.dispatcher.handleHello(
       {
         type: 'agent-hello',
-        agent: agent.name,
-        life: String(agent.life),
+        agent: executor.name,
+        life: String(executor.incarnation),
         failureDomain: isEmptied ? 'emptied' : 'kept',
         holding: [],
         results: [],
@@ -272,57 +272,61 @@
       'me',
       this.now,
     );
-    this.ping(agent);
+    this.ping(executor);
   }
 
-  private stepOutage(agent: ModelAgent, { fromMs, untilMs }: ModelOutage): void {
+  private stepOutage(executor: ModelExecutor, { fromMs, untilMs }: ModelOutage): void {
     if (this.now === fromMs) {
-      agent.isOut = true;
-      agent.runs = [];
-      this.dispatcher.handleClose(agent.id, 'test', this.now);
+      executor.isOut = true;
+      executor.runs = [];
+      this.dispatcher.handleClose(executor.id, 'test', this.now);
     }
     if (this.now !== untilMs) return;
-    agent.isOut = false;
-    this.link(agent);
+    executor.isOut = false;
+    this.link(executor);
   }
 
   private handleOrder(id: string, message: DispatcherMessage): void {
-    const agent = this.agents.find((one) => one.id === id);
-    if (!agent || agent.isOut) return;
+    const executor = this.executors.find((one) => one.id === id);
+    if (!executor || executor.isOut) return;
     if (message.type === 'start') {
       const { name, resources } = message;
-      agent.startsSeen += 1;
+      executor.startsSeen += 1;
       const workMs = this.workOf.get(name.job)?.[name.index] ?? 0;
-      agent.runs.push({ name, cpuMilli: resources.cpuMilli, endsAt: this.now + workMs * agent.slowness + 2 });
+      executor.runs.push({
+        name,
+        cpuMilli: resources.cpuMilli,
+        endsAt: this.now + workMs * executor.slowness + 2,
+      });
     }
     if (message.type !== 'stop') return;
     const { job, index } = message.name;
-    const run = agent.runs.find(({ name }) => name.job === job && name.index === index);
-    if (run) agent.runs.splice(agent.runs.indexOf(run), 1, { ...run, endsAt: this.now + 1 });
+    const run = executor.runs.find(({ name }) => name.job === job && name.index === index);
+    if (run) executor.runs.splice(executor.runs.indexOf(run), 1, { ...run, endsAt: this.now + 1 });
   }
 
-  private stepAgent(agent: ModelAgent): void {
-    const ended = agent.runs.filter(({ endsAt }) => endsAt <= this.now);
+  private stepExecutor(executor: ModelExecutor): void {
+    const ended = executor.runs.filter(({ endsAt }) => endsAt <= this.now);
     if (ended.length > 0) {
-      agent.runs = agent.runs.filter(({ endsAt }) => endsAt > this.now);
+      executor.runs = executor.runs.filter(({ endsAt }) => endsAt > this.now);
       for (const { name } of ended) {
         const result = { type: 'result', name, end: 'done', reason: '' } as const;
-        this.dispatcher.handleResult(agent.id, result, this.now);
+        this.dispatcher.handleResult(executor.id, result, this.now);
       }
-      const room = this.buildRoom(agent);
-      this.dispatcher.handleCapacity(agent.id, { type: 'room', at: this.now, room }, this.now);
+      const room = this.buildCapacityReport(executor);
+      this.dispatcher.handleCapacity(executor.id, { type: 'room', at: this.now, room }, this.now);
     }
-    if (this.now >= agent.nextPingAt) this.ping(agent);
+    if (this.now >= executor.nextPingAt) this.ping(executor);
   }
 
-  private ping(agent: ModelAgent): void {
-    agent.nextPingAt = this.now + PING_MS;
-    const room = this.buildRoom(agent);
+  private ping(executor: ModelExecutor): void {
+    executor.nextPingAt = this.now + PING_MS;
+    const room = this.buildCapacityReport(executor);
     const ping = { type: 'ping', version: 1, at: this.now, room, progress: undefined } as const;
-    this.dispatcher.handlePing(agent.id, ping, this.now);
+    this.dispatcher.handlePing(executor.id, ping, this.now);
   }
 
-  private buildRoom({ name, startsSeen, runs, slowness }: ModelAgent): CapacityReport {
+  private buildCapacityReport({ name, startsSeen, runs, slowness }: ModelExecutor): CapacityReport {
     const used = runs.reduce((sum, { cpuMilli }) => sum + cpuMilli, 0);
     const description = {
       upstream: `of-${name}`,
@@ -330,7 +334,7 @@
       labels: [],
       capacity: CAPACITY,
     };
-    const free = { ...CAPACITY, cpuMilli: AGENT_CPU - used };
+    const free = { ...CAPACITY, cpuMilli: EXECUTOR_CPU - used };
     return { description, state: 'ready', trust: 'healthy', free, startsSeen, speed: 1 / slowness };
   }
 }
@@ -351,6 +355,6 @@
   both: { lengthMs: 12_000, bursts: BOTH },
   'estimates off': { lengthMs: 12_000, bursts: BOTH, estimateOff: 0.4 },
   flood: { lengthMs: 12_000, bursts: [FLOOD] },
-  'room lost': { lengthMs: 12_000, bursts: BOTH, outage: { agents: 3, fromMs: 6_000, untilMs: 10_000 } },
-  'slow third': { lengthMs: 12_000, bursts: BOTH, slowAgents: 2 },
+  'room lost': { lengthMs: 12_000, bursts: BOTH, outage: { executors: 3, fromMs: 6_000, untilMs: 10_000 } },
+  'slow third': { lengthMs: 12_000, bursts: BOTH, slowExecutors: 2 },
 };
--- a/test/fakes/checkDispatchWorld.ts
+++ b/test/fakes/checkDispatchSimulation.ts
@@ -1,37 +1,37 @@
 /** Checks of the promises in the randomised runs of dispatchers and agents. */
 import type { JobOutcome } from '../../src/request/dispatch/submission.js';
 import { STEP } from './dispatchFixtures.js';
-import type { WorldAgent, WorldEntry, WorldJob, WorldUpstream } from './dispatchWorldState.js';
+import type { SimExecutor, SimDispatcher, SimJob, SimUpstream } from './dispatchSimulationState.js';
 
 /** Step of a run, after each of which it is checked, ms. */
-export const WORLD_STEP_MS = 5;
+export const SIMULATION_STEP_MS = 5;
 /** Time that callers keep before they submit a job again elsewhere, ms. */
 export const RESUBMIT_MS = 1_300;
 /** Tasks that each upstream has room for at first. */
-export const ROOM_TASKS = 4;
+export const CAPACITY_TASKS = 4;
 /** Room of each upstream at first. */
 export const CAPACITY = {
-  cpuMilli: ROOM_TASKS * STEP.resources.cpuMilli,
+  cpuMilli: CAPACITY_TASKS * STEP.resources.cpuMilli,
   memoryMb: 1_000,
   gpus: 0,
 };
 
 /** No task at work twice, nothing beyond room, nothing of a caller that left so long ago. */
-export function checkRuns(agents: readonly WorldAgent[], jobs: readonly WorldJob[], now: number): void {
+export function checkRuns(executors: readonly SimExecutor[], jobs: readonly SimJob[], now: number): void {
   const atWork = new Set<string>();
-  for (const { upstream } of agents) {
+  for (const { upstream } of executors) {
     const { fake } = upstream;
     fake.applyTime();
     if (fake.doubled > 0) throw new Error('a run began beside another of its task');
     // Room may shrink below what runs: only a start can go beyond it.
     const hasBegun = fake.starts > upstream.checkedStarts;
     upstream.checkedStarts = fake.starts;
-    if (hasBegun && fake.running.size > findRoom(upstream, now)) throw new Error('beyond the room');
+    if (hasBegun && fake.running.size > findCapacityTasks(upstream, now)) throw new Error('beyond the room');
     for (const [key, { name }] of fake.running) {
       const job = jobs.find(({ id }) => id === name.job);
       if (!job) throw new Error(`${name.job} was never submitted`);
       job.started = true;
-      if (now < upstream.doubtfulUntil) continue;
+      if (now < upstream.uncertainUntil) continue;
       if (atWork.has(key)) throw new Error(`${key} runs twice at once`);
       atWork.add(key);
       const waits = job.callers.some(({ leftAt }) => leftAt === undefined || now < leftAt + RESUBMIT_MS);
@@ -41,8 +41,8 @@
 }
 
 /** Every process has learnt what the operators wrote last of the failure domains. */
-export function checkKnowledge(
-  processes: readonly Pick<WorldEntry | WorldAgent, 'exchange'>[],
+export function checkEmptiedRevision(
+  processes: readonly Pick<SimDispatcher | SimExecutor, 'exchange'>[],
   revision: number,
 ): void {
   for (const { exchange } of processes) {
@@ -52,7 +52,7 @@
 }
 
 /** Every caller that waited has one answer, and nothing has run of a job that was refused; returns the answers. */
-export function checkAnswers(job: WorldJob): readonly JobOutcome[] {
+export function checkAnswers(job: SimJob): readonly JobOutcome[] {
   const answers: JobOutcome[] = [];
   for (const { caller, leftAt } of job.callers) {
     if (caller.answers.length > 1) throw new Error(`${job.id} was answered twice`);
@@ -66,6 +66,6 @@
 }
 
 /** Room that starts of the last step could go by: one that was on its way when the word came could not know it. */
-function findRoom({ toldTasks, toldAt, toldBefore }: WorldUpstream, now: number): number {
-  return now - toldAt < WORLD_STEP_MS ? Math.max(toldTasks, toldBefore) : toldTasks;
+function findCapacityTasks({ reportedTasks, reportedAt, previousTasks }: SimUpstream, now: number): number {
+  return now - reportedAt < SIMULATION_STEP_MS ? Math.max(reportedTasks, previousTasks) : reportedTasks;
 }
--- a/test/fakes/countService.ts
+++ b/test/fakes/countService.ts
@@ -8,10 +8,10 @@
 const FIXED_WORTH = 0.3;
 const MAX_WORTH = 4;
 /** Time within which a refusal counts as told at once, ms. */
-const AT_ONCE_MS = 20;
+const IMMEDIATE_MS = 20;
 
 /** Service of some jobs; shares of 1. */
-export interface Service {
+export interface ServiceSummary {
   readonly queues: Readonly<Record<string, number>>;
   /** Worth earned of that owed: all (queues count alike), the worst queue, the worst of the size classes. */
   readonly total: number;
@@ -32,7 +32,7 @@
 }
 
 /** Counts the service of a play's jobs. */
-export function countService(jobs: readonly ScarceCapacityJob[]): Service {
+export function countService(jobs: readonly ScarceCapacityJob[]): ServiceSummary {
   const byQueue = new Map<string, ScarceCapacityJob[]>();
   for (const job of jobs) byQueue.set(job.queue, [...(byQueue.get(job.queue) ?? []), job]);
   const queues: Record<string, number> = {};
@@ -58,7 +58,7 @@
   const countShare = (isOne: (job: ScarceCapacityJob) => boolean): number =>
     jobs.filter(isOne).length / jobs.length;
   const isSoon = ({ answeredAt, arrivedAt }: ScarceCapacityJob): boolean =>
-    answeredAt - arrivedAt <= AT_ONCE_MS;
+    answeredAt - arrivedAt <= IMMEDIATE_MS;
   return {
     queues,
     total,
--- a/test/fakes/dispatchCommands.ts
+++ b/test/fakes/dispatchCommands.ts
@@ -1,15 +1,18 @@
 /** Commands of the randomised runs of dispatchers and agents. */
 import * as fc from 'fast-check';
 
-import type { DispatchWorld } from './DispatchWorld.js';
+import type { DispatchSimulation } from './DispatchSimulation.js';
 
-type WorldCommand = fc.AsyncCommand<object, DispatchWorld>;
+type WorldCommand = fc.AsyncCommand<object, DispatchSimulation>;
 
 /** Most commands of one run. */
 const MAX_COMMANDS = 40;
 
-function createCommand(name: string, run: (world: DispatchWorld) => void | Promise<void>): WorldCommand {
-  return { check: () => true, run: async (_, world) => run(world), toString: () => name };
+function createCommand(
+  name: string,
+  run: (simulation: DispatchSimulation) => void | Promise<void>,
+): WorldCommand {
+  return { check: () => true, run: async (_, simulation) => run(simulation), toString: () => name };
 }
 
 const index = fc.nat(5);
@@ -24,86 +27,96 @@
     fc.constantFrom(600, 2_000, 4_000),
   )
   .map(([at, tasks, taskMs, patienceMs]) =>
-    createCommand(`submit(${at},${tasks},${taskMs},${patienceMs})`, (world) =>
-      world.submit(at, tasks, taskMs, patienceMs),
+    createCommand(`submit(${at},${tasks},${taskMs},${patienceMs})`, (simulation) =>
+      simulation.submit(at, tasks, taskMs, patienceMs),
     ),
   );
 
 const advance = fc
   .constantFrom(5, 20, 60, 200, 700)
-  .map((ms) => createCommand(`advance(${ms})`, (world) => world.advance(ms)));
+  .map((ms) => createCommand(`advance(${ms})`, (simulation) => simulation.advance(ms)));
 
 const resubmit = fc
   .tuple(fc.nat(40), index)
-  .map(([job, at]) => createCommand(`resubmit(${job},${at})`, (world) => world.resubmit(job, at)));
+  .map(([job, at]) => createCommand(`resubmit(${job},${at})`, (simulation) => simulation.resubmit(job, at)));
 
 const freeze = fc
   .tuple(kind, index, fc.constantFrom(100, 300, 600, 900, 2_500))
   .map(([what, at, ms]) =>
-    createCommand(`freeze(${what},${at},${ms})`, (world) => world.freeze(what, at, ms)),
+    createCommand(`freeze(${what},${at},${ms})`, (simulation) => simulation.freeze(what, at, ms)),
   );
 
 const kill = fc
   .tuple(kind, index)
-  .map(([what, at]) => createCommand(`kill(${what},${at})`, (world) => world.kill(what, at)));
+  .map(([what, at]) => createCommand(`kill(${what},${at})`, (simulation) => simulation.kill(what, at)));
 
 const cut = fc
   .tuple(index, index, fc.constantFrom(100, 450, 700, 1_500, 4_000))
-  .map(([entry, agent, ms]) =>
-    createCommand(`cut(${entry},${agent},${ms})`, (world) => world.cut(entry, agent, ms)),
+  .map(([dispatcher, executor, ms]) =>
+    createCommand(`cut(${dispatcher},${executor},${ms})`, (simulation) =>
+      simulation.cut(dispatcher, executor, ms),
+    ),
   );
 
 const reset = fc
   .tuple(index, index)
-  .map(([entry, agent]) => createCommand(`reset(${entry},${agent})`, (world) => world.reset(entry, agent)));
+  .map(([dispatcher, executor]) =>
+    createCommand(`reset(${dispatcher},${executor})`, (simulation) => simulation.reset(dispatcher, executor)),
+  );
 
-const crash = index.map((at) => createCommand(`crash(${at})`, (world) => world.crash(at)));
+const crash = index.map((at) => createCommand(`crash(${at})`, (simulation) => simulation.crash(at)));
 
 const disturb = fc
   .tuple(index, fate, fc.integer({ min: 1, max: 6 }))
   .map(([at, how, count]) =>
-    createCommand(`disturb(${at},${how},${count})`, (world) => world.disturb(at, how, count)),
+    createCommand(`disturb(${at},${how},${count})`, (simulation) => simulation.setFates(at, how, count)),
   );
 
 const silence = fc
   .tuple(index, fc.constantFrom(100, 500, 1_200, 2_500))
-  .map(([at, ms]) => createCommand(`silence(${at},${ms})`, (world) => world.silence(at, ms)));
+  .map(([at, ms]) =>
+    createCommand(`silence(${at},${ms})`, (simulation) => simulation.silenceUpstream(at, ms)),
+  );
 
 const hang = fc
   .tuple(index, fc.boolean())
-  .map(([at, hangs]) => createCommand(`hang(${at},${hangs})`, (world) => world.hang(at, hangs)));
+  .map(([at, hangs]) => createCommand(`hang(${at},${hangs})`, (simulation) => simulation.hang(at, hangs)));
 
 const mute = fc
   .tuple(index, index, fc.constantFrom(100, 300, 600, 1_500))
-  .map(([entry, agent, ms]) =>
-    createCommand(`mute(${entry},${agent},${ms})`, (world) => world.mute(entry, agent, ms)),
+  .map(([dispatcher, executor, ms]) =>
+    createCommand(`mute(${dispatcher},${executor},${ms})`, (simulation) =>
+      simulation.silenceConnection(dispatcher, executor, ms),
+    ),
   );
 
-const replace = index.map((at) => createCommand(`replace(${at})`, (world) => world.replace(at)));
+const replace = index.map((at) => createCommand(`replace(${at})`, (simulation) => simulation.replace(at)));
 
 const lateReport = index.map((at) =>
-  createCommand(`lateReport(${at})`, (world) => world.deliverLateReport(at)),
+  createCommand(`lateReport(${at})`, (simulation) => simulation.deliverLateReport(at)),
 );
 
 const lateHello = fc
   .tuple(index, index)
-  .map(([entry, agent]) =>
-    createCommand(`lateHello(${entry},${agent})`, (world) => world.deliverLateHello(entry, agent)),
+  .map(([dispatcher, executor]) =>
+    createCommand(`lateHello(${dispatcher},${executor})`, (simulation) =>
+      simulation.deliverLateHello(dispatcher, executor),
+    ),
   );
 
 const changeDomain = fc
   .tuple(index, fc.boolean(), index)
-  .map(([domain, isEmptied, entry]) =>
-    createCommand(`changeDomain(${domain},${isEmptied},${entry})`, (world) =>
-      world.changeDomain(domain, isEmptied, entry),
+  .map(([domain, isEmptied, dispatcher]) =>
+    createCommand(`changeDomain(${domain},${isEmptied},${dispatcher})`, (simulation) =>
+      simulation.changeDomain(domain, isEmptied, dispatcher),
     ),
   );
 
 const restartUpstream = fc
   .tuple(index, fc.constantFrom(0, 60, 300, 1_500), fc.boolean())
   .map(([at, ms, reports]) =>
-    createCommand(`restartUpstream(${at},${ms},${reports})`, (world) =>
-      world.restartUpstream(at, ms, reports),
+    createCommand(`restartUpstream(${at},${ms},${reports})`, (simulation) =>
+      simulation.restartUpstream(at, ms, reports),
     ),
   );
 
@@ -112,21 +125,25 @@
 const suspend = fc
   .tuple(kind, index, fc.constantFrom(100, 300, 600, 900, 2_500, 5_000), fc.boolean(), step)
   .map(([what, at, ms, withUpstream, stepMs]) =>
-    createCommand(`suspend(${what},${at},${ms},${withUpstream},${stepMs})`, (world) =>
-      world.suspend(what, at, ms, withUpstream, stepMs),
+    createCommand(`suspend(${what},${at},${ms},${withUpstream},${stepMs})`, (simulation) =>
+      simulation.suspend(what, at, ms, withUpstream, stepMs),
     ),
   );
 
 const stepTimeOfDay = fc
   .tuple(kind, index, step)
   .map(([what, at, ms]) =>
-    createCommand(`stepTimeOfDay(${what},${at},${ms})`, (world) => world.stepTimeOfDay(what, at, ms)),
+    createCommand(`stepTimeOfDay(${what},${at},${ms})`, (simulation) =>
+      simulation.stepTimeOfDay(what, at, ms),
+    ),
   );
 
 const changeRoom = fc
   .tuple(index, fc.integer({ min: 0, max: 6 }), fc.boolean())
   .map(([at, tasks, reports]) =>
-    createCommand(`changeRoom(${at},${tasks},${reports})`, (world) => world.changeRoom(at, tasks, reports)),
+    createCommand(`changeRoom(${at},${tasks},${reports})`, (simulation) =>
+      simulation.changeCapacity(at, tasks, reports),
+    ),
   );
 
 const EARLIER_COMMANDS = [
--- a/test/fakes/dispatchWorldDomains.ts
+++ b/test/fakes/dispatchSimulationDomains.ts
@@ -6,7 +6,7 @@
 import { applyDomainChange } from '../../src/version/emptiedDomains.js';
 import type { EmptiedDomains } from '../../src/version/emptiedDomains.js';
 import type { ReportedVersions } from '../../src/process/OperatorExchange.js';
-import type { Link, WorldAgent, WorldEntry } from './dispatchWorldState.js';
+import type { Link, SimExecutor, SimDispatcher } from './dispatchSimulationState.js';
 
 /** Configurations play no part here. */
 const NO_VERSION = -1;
@@ -19,29 +19,29 @@
   return DOMAINS[index % DOMAINS.length] ?? '';
 }
 
-function isEmptied(agent: WorldAgent): boolean {
-  return agent.exchange.emptied?.domains.includes(findDomain(agent)) === true;
+function isEmptied(executor: SimExecutor): boolean {
+  return executor.exchange.emptied?.domains.includes(findDomain(executor)) === true;
 }
 
 /** Creates what an agent knows of the operators' word. */
-export function createAgentExchange(agent: WorldAgent, core: Executor): OperatorExchange {
+export function createExecutorExchange(executor: SimExecutor, core: Executor): OperatorExchange {
   return new OperatorExchange({
     changeConfiguration: () => undefined,
-    changeEmptied: ({ domains }) => core.setEmptied(domains.includes(findDomain(agent))),
+    changeEmptied: ({ domains }) => core.setEmptied(domains.includes(findDomain(executor))),
   });
 }
 
 /** Whether an entry knows that the failure domain of an agent is emptied. */
-export function knowsEmptied({ exchange }: WorldEntry, agent: WorldAgent): boolean {
-  return exchange.emptied?.domains.includes(findDomain(agent)) === true;
+export function isKnownEmptied({ exchange }: SimDispatcher, executor: SimExecutor): boolean {
+  return exchange.emptied?.domains.includes(findDomain(executor)) === true;
 }
 
 /** Has an agent take an order, which it must not do in a domain that it knows to be emptied. */
-export function takeStart({ agent, life }: Link, order: StartOrder): void {
-  const { core } = agent;
+export function handleStart({ executor, incarnation }: Link, order: StartOrder): void {
+  const { core } = executor;
   const load = core.load;
-  core.handleStart(life, order);
-  if (core.load > load && isEmptied(agent)) throw new Error('an agent takes work in an emptied domain');
+  core.handleStart(incarnation, order);
+  if (core.load > load && isEmptied(executor)) throw new Error('an agent takes work in an emptied domain');
 }
 
 /** Has a process ask its peer for a newer list of emptied domains. */
@@ -55,7 +55,7 @@
 }
 
 /** Writes one record more, as the operators do. */
-export function changeWritten(
+export function applyWrittenChange(
   written: EmptiedDomains = { revision: 0, domains: [] },
   domain: string,
   isEmptied: boolean,
--- a/test/fakes/dispatchWorldState.ts
+++ b/test/fakes/dispatchSimulationState.ts
@@ -13,70 +13,79 @@
 import type { ProcessGate } from './ProcessGate.js';
 
 /** A message on its way. */
-export interface Parcel<Message> {
+export interface InFlightMessage<Message> {
   readonly at: number;
   readonly message: Message;
 }
 
 /** A connection of an agent to an entry. */
 export interface Link {
-  readonly entry: WorldEntry;
-  readonly agent: WorldAgent;
-  readonly toEntry: Parcel<ExecutorMessage>[];
-  readonly toAgent: Parcel<DispatcherMessage>[];
+  readonly dispatcher: SimDispatcher;
+  readonly executor: SimExecutor;
+  readonly forth: InFlightMessage<ExecutorMessage>[];
+  readonly back: InFlightMessage<DispatcherMessage>[];
   readonly openedAt: number;
-  agentId: string;
-  life: string;
+  executorId: string;
+  incarnation: string;
   broken: boolean;
   /** Carries nothing any more, not even its end. */
   silent: boolean;
 }
 
 /** Creates a connection that has just been opened. */
-export function createLink(entry: WorldEntry, agent: WorldAgent, openedAt: number): Link {
+export function createLink(dispatcher: SimDispatcher, executor: SimExecutor, openedAt: number): Link {
   const closed = { broken: false, silent: false };
-  return { entry, agent, toEntry: [], toAgent: [], openedAt, agentId: '', life: '', ...closed };
+  return {
+    dispatcher,
+    executor,
+    forth: [],
+    back: [],
+    openedAt,
+    executorId: '',
+    incarnation: '',
+    ...closed,
+  };
 }
 
 /** An entry in its newest life. */
-export interface WorldEntry {
+export interface SimDispatcher {
   readonly index: number;
-  life: number;
+  incarnation: number;
   gate: ProcessGate;
   exchange: OperatorExchange;
   core: Dispatcher;
-  lastTurnAt: number;
+  lastStepAt: number;
 }
 
 /** An agent in its newest life. */
-export interface WorldAgent {
+export interface SimExecutor {
   readonly index: number;
-  life: number;
+  incarnation: number;
   gate: ProcessGate;
   exchange: OperatorExchange;
   core: Executor;
   restartAt: number;
-  upstream: WorldUpstream;
-  readonly lastLives: Map<number, string>;
+  upstream: SimUpstream;
+  readonly lastIncarnations: Map<number, string>;
 }
 
 /** A life of an upstream. */
-export interface WorldUpstream {
+export interface SimUpstream {
   /** Of the upstream; lives have one each, or one for all of them. */
   readonly id: string;
-  readonly life: number;
+  readonly incarnation: number;
   readonly fake: FakeUpstream;
   /**
    * Until when something may run there that its executor has had no time to stop: it was suspended along with it, which its
    * leases do not count.
    */
-  doubtfulUntil: number;
+  uncertainUntil: number;
   /** Tasks that it has room for. */
-  roomTasks: number;
+  capacityTasks: number;
   /** Those that its executor was last told of, when that was, and those before. */
-  toldTasks: number;
-  toldAt: number;
-  toldBefore: number;
+  reportedTasks: number;
+  reportedAt: number;
+  previousTasks: number;
   /** Starts that have been checked. */
   checkedStarts: number;
   /** Reports that this life has sent, where each life counts its own. */
@@ -84,10 +93,10 @@
 }
 
 /** A job and the callers that have submitted it, one after another. */
-export interface WorldJob {
+export interface SimJob {
   readonly id: string;
   readonly tasks: number;
-  readonly callers: { caller: FakeCaller; entry: WorldEntry; leftAt: number | undefined }[];
+  readonly callers: { caller: FakeCaller; dispatcher: SimDispatcher; leftAt: number | undefined }[];
   started: boolean;
 }
 
@@ -95,13 +104,13 @@
 const VERSION = 1;
 
 /** Builds the next ping of a link. */
-export function buildPing({ agent, life }: Link): Ping {
-  const { emptiedRevision } = agent.exchange.versions;
-  return { ...agent.core.buildPing(life, VERSION), emptiedRevision };
+export function buildPing({ executor, incarnation }: Link): Ping {
+  const { emptiedRevision } = executor.exchange.versions;
+  return { ...executor.core.buildPing(incarnation, VERSION), emptiedRevision };
 }
 
 /** Builds the echo of a ping, as of an entry at which tasks wait. */
-export function buildPong({ core, exchange }: WorldEntry, { at }: Ping): Pong {
+export function buildPong({ core, exchange }: SimDispatcher, { at }: Ping): Pong {
   const { emptiedRevision } = exchange.versions;
   const { typicalSpeed } = core;
   return { type: 'pong', at, version: VERSION, emptiedRevision, typicalSpeed, isWaiting: true };
--- a/test/fakes/dispatchWorldUpstreams.ts
+++ b/test/fakes/dispatchSimulationUpstreams.ts
@@ -2,9 +2,9 @@
 import type { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type { UpstreamReport } from '../../src/ports/UpstreamRegistry.js';
 import { AddressUpstreamApi } from './AddressUpstreamApi.js';
-import { CAPACITY, ROOM_TASKS } from './checkDispatchWorld.js';
+import { CAPACITY, CAPACITY_TASKS } from './checkDispatchSimulation.js';
 import { ROUTE, STEP } from './dispatchFixtures.js';
-import type { WorldAgent, WorldUpstream } from './dispatchWorldState.js';
+import type { SimExecutor, SimUpstream } from './dispatchSimulationState.js';
 import type { FakeClock } from './FakeClock.js';
 import { FakeUpstream } from './FakeUpstream.js';
 import { SuspendedTime } from './SuspendedTime.js';
@@ -19,13 +19,13 @@
 /** Reports that an earlier life has sent; far more than a run is long. */
 const MANY_REPORTS = 1_000_000;
 /** Longest time after waking for which a lease of before holds, ms. */
-const REST_OF_LEASE_MS = 700;
+const REMAINING_LEASE_MS = 700;
 
 /** The upstreams beside the agents of a run. */
-export class WorldUpstreams {
+export class SimUpstreams {
   /** When tasks crashed upstreams. */
   readonly crashedAt: number[] = [];
-  private readonly crashed = new Set<WorldAgent>();
+  private readonly crashed = new Set<SimExecutor>();
   private poison = '';
   private sequence = 0;
   /** By agent, of the VM of its upstreams. */
@@ -41,36 +41,36 @@
   ) {}
 
   /** Creates the first life of an agent's upstream. */
-  create(index: number): WorldUpstream {
-    return this.createLife(index, 1);
+  create(index: number): SimUpstream {
+    return this.createIncarnation(index, 1);
   }
 
   /** Ends the life of an agent's upstream, which answers nothing from now on. */
-  end({ upstream }: WorldAgent): void {
+  end({ upstream }: SimExecutor): void {
     upstream.fake.running.clear();
     upstream.fake.isOver = true;
     upstream.fake.silent = true;
   }
 
   /** Has the next life of an agent's upstream take the place of the one that was ended. */
-  begin(agent: WorldAgent): void {
-    agent.upstream = this.createLife(agent.index, agent.upstream.life + 1);
+  begin(executor: SimExecutor): void {
+    executor.upstream = this.createIncarnation(executor.index, executor.upstream.incarnation + 1);
   }
 
   /** Has the next life of an agent's upstream answer at once where the last one did. */
-  replace(agent: WorldAgent): void {
-    const { fake } = agent.upstream;
-    this.end(agent);
+  replace(executor: SimExecutor): void {
+    const { fake } = executor.upstream;
+    this.end(executor);
     fake.silent = this.keepsIds;
     fake.isReplaced = !this.keepsIds;
-    this.begin(agent);
+    this.begin(executor);
   }
 
   /** Suspends the VM of an agent's upstream. */
-  suspend({ index, upstream }: WorldAgent, ms: number): void {
+  suspend({ index, upstream }: SimExecutor, ms: number): void {
     const suspended = this.findSuspended(index);
     suspended.suspend(ms);
-    upstream.doubtfulUntil = suspended.until + REST_OF_LEASE_MS;
+    upstream.uncertainUntil = suspended.until + REMAINING_LEASE_MS;
   }
 
   /** Has the VMs of all upstreams run. */
@@ -79,54 +79,57 @@
   }
 
   /** Tasks of a job crash the upstreams that begin them. */
-  setPoison(job: string, agents: readonly WorldAgent[]): void {
+  setPoison(job: string, executors: readonly SimExecutor[]): void {
     this.poison = job;
-    for (const { upstream } of agents) upstream.fake.poison = job;
+    for (const { upstream } of executors) upstream.fake.poison = job;
   }
 
   /** Has the next life of each upstream that a task has crashed begin after a while. */
-  restartCrashed(agents: readonly WorldAgent[], report: (agent: WorldAgent) => void): void {
-    for (const agent of agents) {
-      if (!agent.upstream.fake.refuses || this.crashed.has(agent)) continue;
-      this.crashed.add(agent);
+  restartCrashed(executors: readonly SimExecutor[], report: (executor: SimExecutor) => void): void {
+    for (const executor of executors) {
+      if (!executor.upstream.fake.refuses || this.crashed.has(executor)) continue;
+      this.crashed.add(executor);
       this.crashedAt.push(this.clock.now());
       void this.clock.sleep(CRASHED_MS).then(() => {
-        this.crashed.delete(agent);
-        this.begin(agent);
-        agent.upstream.fake.poison = this.poison;
-        report(agent);
+        this.crashed.delete(executor);
+        this.begin(executor);
+        executor.upstream.fake.poison = this.poison;
+        report(executor);
       });
     }
   }
 
   /** Builds the next report of a life of an agent's upstream. */
-  buildReport({ index, upstream }: WorldAgent, life: number): UpstreamReport {
+  buildReport({ index, upstream }: SimExecutor, incarnation: number): UpstreamReport {
     this.sequence += 1;
     return {
-      id: this.buildId(index, life),
-      bornAt: this.findBornAt(life),
+      id: this.buildId(index, incarnation),
+      bornAt: this.findBornAt(incarnation),
       service: ROUTE.service,
       address: `u${index}`,
-      capacity: { ...CAPACITY, cpuMilli: this.takeTold(upstream, life) * STEP.resources.cpuMilli },
+      capacity: {
+        ...CAPACITY,
+        cpuMilli: this.takeReportedTasks(upstream, incarnation) * STEP.resources.cpuMilli,
+      },
       labels: [],
       isDraining: false,
       clockMs: upstream.fake.clockMs,
-      sequence: this.keepsIds ? this.countInLife(upstream, life) : this.sequence,
+      sequence: this.keepsIds ? this.countInIncarnation(upstream, incarnation) : this.sequence,
     };
   }
 
   /** Returns the tasks that a life has room for; an earlier one tells what it had at first. */
-  private takeTold(upstream: WorldUpstream, life: number): number {
-    if (life !== upstream.life) return ROOM_TASKS;
-    if (upstream.roomTasks === upstream.toldTasks) return upstream.toldTasks;
-    upstream.toldBefore = upstream.toldTasks;
-    upstream.toldAt = this.clock.now();
-    upstream.toldTasks = upstream.roomTasks;
-    return upstream.toldTasks;
+  private takeReportedTasks(upstream: SimUpstream, incarnation: number): number {
+    if (incarnation !== upstream.incarnation) return CAPACITY_TASKS;
+    if (upstream.capacityTasks === upstream.reportedTasks) return upstream.reportedTasks;
+    upstream.previousTasks = upstream.reportedTasks;
+    upstream.reportedAt = this.clock.now();
+    upstream.reportedTasks = upstream.capacityTasks;
+    return upstream.reportedTasks;
   }
 
   /** Opens the way to a life that has reported itself. */
-  openExecutor(id: string, findAgent: () => WorldAgent): UpstreamApi {
+  openApi(id: string, findAgent: () => SimExecutor): UpstreamApi {
     const { upstream } = findAgent();
     if (this.keepsIds) return new AddressUpstreamApi(() => findAgent().upstream.fake);
     if (id === upstream.id) return upstream.fake;
@@ -136,31 +139,31 @@
   }
 
   /** Numbers of reports begin anew with each life; an earlier one had sent many. */
-  private countInLife(upstream: WorldUpstream, life: number): number {
-    if (life !== upstream.life) return MANY_REPORTS + this.sequence;
+  private countInIncarnation(upstream: SimUpstream, incarnation: number): number {
+    if (incarnation !== upstream.incarnation) return MANY_REPORTS + this.sequence;
     upstream.reports += 1;
     return upstream.reports;
   }
 
-  private createLife(index: number, life: number): WorldUpstream {
+  private createIncarnation(index: number, incarnation: number): SimUpstream {
     const clockStep = this.keepsIds ? -CLOCK_STEP_MS : CLOCK_STEP_MS;
     const suspended = this.findSuspended(index);
     const clock = {
       now: () => this.clock.now() - suspended.ms,
       sleep: (ms: number) => this.clock.sleep(ms),
     };
-    const fake = new FakeUpstream(clock, FIRST_CLOCK_MS + life * clockStep);
-    fake.bornAt = this.findBornAt(life);
+    const fake = new FakeUpstream(clock, FIRST_CLOCK_MS + incarnation * clockStep);
+    fake.bornAt = this.findBornAt(incarnation);
     return {
-      id: this.buildId(index, life),
-      life,
+      id: this.buildId(index, incarnation),
+      incarnation,
       fake,
-      doubtfulUntil: suspended.until + REST_OF_LEASE_MS,
+      uncertainUntil: suspended.until + REMAINING_LEASE_MS,
       reports: 0,
-      roomTasks: ROOM_TASKS,
-      toldTasks: ROOM_TASKS,
-      toldAt: -Infinity,
-      toldBefore: ROOM_TASKS,
+      capacityTasks: CAPACITY_TASKS,
+      reportedTasks: CAPACITY_TASKS,
+      reportedAt: -Infinity,
+      previousTasks: CAPACITY_TASKS,
       checkedStarts: 0,
     };
   }
@@ -173,11 +176,11 @@
     return suspended;
   }
 
-  private buildId(index: number, life: number): string {
-    return this.keepsIds ? `u${index}` : `u${index}-${life}`;
+  private buildId(index: number, incarnation: number): string {
+    return this.keepsIds ? `u${index}` : `u${index}-${incarnation}`;
   }
 
-  private findBornAt(life: number): number | undefined {
-    return this.keepsIds ? FIRST_BORN_MS + life : undefined;
+  private findBornAt(incarnation: number): number | undefined {
+    return this.keepsIds ? FIRST_BORN_MS + incarnation : undefined;
   }
 }
--- a/test/fakes/runDispatchSimulation.ts
+++ b/test/fakes/runDispatchSimulation.ts
@@ -1,7 +1,7 @@
 import * as fc from 'fast-check';
 
 import type { dispatchCommands } from './dispatchCommands.js';
-import { DispatchWorld } from './DispatchWorld.js';
+import { DispatchSimulation } from './DispatchSimulation.js';
 
 /**
  * Runs dispatchers and agents through random failures.
@@ -22,16 +22,16 @@
   keepsIds = false,
 ): Promise<Record<string, number>> {
   const totals: Record<string, number> = {};
-  const property = fc.asyncProperty(drawn, fc.integer(), async (commands, worldSeed) => {
-    const world = new DispatchWorld(worldSeed, keepsIds);
+  const property = fc.asyncProperty(drawn, fc.integer(), async (commands, simulationSeed) => {
+    const simulation = new DispatchSimulation(simulationSeed, keepsIds);
     try {
-      await world.advance(200);
-      await fc.asyncModelRun(() => ({ model: {}, real: world }), commands);
-      await world.settle();
+      await simulation.advance(200);
+      await fc.asyncModelRun(() => ({ model: {}, real: simulation }), commands);
+      await simulation.settle();
     } finally {
-      world.close();
+      simulation.close();
     }
-    for (const [name, count] of Object.entries(world.counts)) totals[name] = (totals[name] ?? 0) + count;
+    for (const [name, count] of Object.entries(simulation.counts)) totals[name] = (totals[name] ?? 0) + count;
   });
   await fc.assert(property, { numRuns: runs, seed, endOnFailure: !shrink });
   return totals;
--- a/test/fakes/soakFaults.ts
+++ b/test/fakes/soakFaults.ts
@@ -13,7 +13,7 @@
 export interface SoakFault {
   readonly name: string;
   /** Disturbs, waits and heals. */
-  readonly play: () => Promise<void>;
+  readonly inject: () => Promise<void>;
 }
 
 /** What a fault may strike. */
@@ -46,16 +46,16 @@
   kinds: readonly string[],
 ): SoakFault {
   const kind = kinds[Math.floor(nextRandom() * kinds.length)] ?? 'freeze';
-  const entry = 1 + Math.floor(nextRandom() * sizes.entries);
-  const agent = 1 + Math.floor(nextRandom() * sizes.agents);
-  const daemon = nextRandom() < 0.5 ? `entry-${entry}` : `agent-${agent}`;
+  const dispatcher = 1 + Math.floor(nextRandom() * sizes.entries);
+  const executor = 1 + Math.floor(nextRandom() * sizes.agents);
+  const daemon = nextRandom() < 0.5 ? `entry-${dispatcher}` : `agent-${executor}`;
   const draw = nextRandom();
-  const proxy = draw < 0.5 ? `entry-${entry}` : draw < 0.85 ? `runner-${agent}` : 'store';
+  const proxy = draw < 0.5 ? `entry-${dispatcher}` : draw < 0.85 ? `runner-${executor}` : 'store';
   const ms = Math.round(LONGEST_MS * nextRandom() ** 2);
   const strength = nextRandom();
   const name = `${kind} ${daemon} ${proxy} ${ms}`;
-  const target = { daemon, runner: agent - 1, proxy };
-  return { name, play: () => FAULTS[kind]?.(bench, target, ms, strength) ?? Promise.resolve() };
+  const target = { daemon, runner: executor - 1, proxy };
+  return { name, inject: () => FAULTS[kind]?.(bench, target, ms, strength) ?? Promise.resolve() };
 }
 
 /** Kinds of fault that a seed always drew from: it must go on to mean the same run. */
@@ -95,13 +95,13 @@
 export const SOAK_DOMAINS = ['north', 'south'] as const;
 
 /** Puts the agents into failure domains, by turns. */
-export function dealDomains(agents: number): Readonly<Record<string, string>> {
-  const numbers = Array.from({ length: agents }, (_, at) => at + 1);
+export function assignDomains(executors: number): Readonly<Record<string, string>> {
+  const numbers = Array.from({ length: executors }, (_, at) => at + 1);
   return Object.fromEntries(numbers.map((number) => [`agent-${number}`, findSoakDomain(number)]));
 }
 
-function findSoakDomain(agent: number): string {
-  return SOAK_DOMAINS[agent % SOAK_DOMAINS.length] ?? '';
+function findSoakDomain(executor: number): string {
+  return SOAK_DOMAINS[executor % SOAK_DOMAINS.length] ?? '';
 }
 
 const FAULTS: Readonly<Record<string, Build>> = {
@@ -121,8 +121,8 @@
   cutForth: (bench, { proxy }, ms) => hold(bench.proxies.get(proxy), ms, 'hold', 'pass'),
   cutBack: (bench, { proxy }, ms) => hold(bench.proxies.get(proxy), ms, 'pass', 'hold'),
   reset: async (bench, { proxy }) => bench.proxies.get(proxy)?.resetAll(),
-  silence: async (bench, { proxy }) => bench.proxies.get(proxy)?.silenceOpen(),
-  silenceAll: async (bench) => bench.silenceOpen(),
+  silence: async (bench, { proxy }) => bench.proxies.get(proxy)?.silenceConnections(),
+  silenceAll: async (bench) => bench.silenceConnections(),
   delay: async (bench, { proxy }, ms, strength) => {
     bench.proxies.get(proxy)?.setDelay(MAX_DELAY_MS * strength);
     await sleep(ms);
--- a/test/fakes/worldCommands.ts
+++ b/test/fakes/worldCommands.ts
@@ -82,7 +82,7 @@
  * @param soon - time from the jobs to the pause, ms
  * @param ms - how long the pause lasts
  */
-export function playOvertaking(world: FakeWorld, number: number, at: number, soon: number, ms: number): void {
+export function runOvertaking(world: FakeWorld, number: number, at: number, soon: number, ms: number): void {
   for (let i = 0; i < 16; i += 1) world.submit((number + i) % JOBS, at);
   world.advance(soon);
   world.pause(`entry-${at}`, ms);
@@ -94,7 +94,7 @@
   .tuple(job, entry, fc.integer({ min: 5, max: 300 }), fc.integer({ min: 4_000, max: 12_000 }))
   .map(([number, at, soon, ms]) =>
     createCommand(`overtake(${number},${at},${soon},${ms})`, (world) =>
-      playOvertaking(world, number, at, soon, ms),
+      runOvertaking(world, number, at, soon, ms),
     ),
   );
 
--- a/test/otherWriters.test.ts
+++ b/test/foreignWriters.test.ts
@@ -126,7 +126,7 @@
       for (let round = 0; round < 3; round += 1) {
         expect((await bench.submit('entry-1', `job${round}`, WIDE, 300)).status).to.equal(200);
       }
-      expect(bench.startsAt.get('i-1')).to.be.greaterThan(0);
+      expect(bench.startsByRunner.get('i-1')).to.be.greaterThan(0);
       expect([...bench.starts.values()].filter((count) => count !== 1)).to.deep.equal([]);
     });
   });
@@ -184,7 +184,7 @@
     });
 
     it('beside a report that is kept there, leaves it as it was', async () => {
-      const memory = new LogUpstreamReportStore(address, 1);
+      const reportStore = new LogUpstreamReportStore(address, 1);
       const report: UpstreamReport = {
         id: 'i-1',
         bornAt: 5,
@@ -197,12 +197,12 @@
         sequence: 1,
       };
       try {
-        await memory.save('agent-1', report);
+        await reportStore.save('agent-1', report);
         store.strangeItems.push(null, { key: 5 }, { value: '' }, { key: 'agent-2', value: 7 });
-        expect(await memory.load('agent-1')).to.deep.equal(report);
-        expect(await memory.load('agent-3')).to.equal(undefined);
+        expect(await reportStore.load('agent-1')).to.deep.equal(report);
+        expect(await reportStore.load('agent-3')).to.equal(undefined);
       } finally {
-        memory.stop();
+        reportStore.stop();
       }
     });
   });
--- a/test/largeConfigurations.test.ts
+++ b/test/largeConfigurations.test.ts
@@ -7,7 +7,7 @@
 import { expect } from 'chai';
 
 import { runConfigurationChange } from './fakes/ConfigurationModel.js';
-import type { ConfigurationPlay } from './fakes/ConfigurationModel.js';
+import type { ConfigurationScenario } from './fakes/ConfigurationModel.js';
 
 const CHANGE_MS = 1_000;
 /** Starts and echoes may be late by so much more for a change of the configuration, ms. */
@@ -19,30 +19,30 @@
 const EXECUTORS = [54, 200];
 const BASE = { dispatchers: 8, changes: [CHANGE_MS], untilMs: 180_000, seed: 20261203 };
 
-const PLAYS: ConfigurationPlay[] = EXECUTORS.flatMap((executors) =>
+const PLAYS: ConfigurationScenario[] = EXECUTORS.flatMap((executors) =>
   RATES_MBPS.flatMap((mbps) => ROUTES.map((routes) => ({ ...BASE, executors, mbps, routes }))),
 );
 
 describe('a change of the configuration', function () {
   this.timeout(120_000);
 
-  for (const play of PLAYS) {
-    const { mbps, routes, executors } = play;
+  for (const scenario of PLAYS) {
+    const { mbps, routes, executors } = scenario;
     it(`with ${routes} routes on links of ${mbps} Mbit/s makes nothing late for ${executors} executors`, () => {
-      const quiet = runConfigurationChange({ ...play, changes: [], untilMs: 10_000 });
-      const { lateMs, servicesMs, wholeMs } = runConfigurationChange(play);
+      const quiet = runConfigurationChange({ ...scenario, changes: [], untilMs: 10_000 });
+      const { lateMs, servicesMs, wholeMs } = runConfigurationChange(scenario);
       expect(lateMs - quiet.lateMs, 'late').to.be.at.most(LATE_MS);
       expect(servicesMs - CHANGE_MS, 'services known').to.be.at.most(SERVICES_MS);
-      expect(wholeMs, 'all up to date').to.be.lessThan(play.untilMs);
+      expect(wholeMs, 'all up to date').to.be.lessThan(scenario.untilMs);
     });
   }
 
   it('costs about as much as the newest version when ten are written within 4 s', () => {
-    const play = { ...BASE, mbps: 17.5, routes: 1_500, executors: 54 };
+    const scenario = { ...BASE, mbps: 17.5, routes: 1_500, executors: 54 };
     const changes = Array.from({ length: 10 }, (_, at) => CHANGE_MS + at * 400);
-    const once = runConfigurationChange(play);
-    const often = runConfigurationChange({ ...play, changes });
-    expect(often.wholeMs).to.be.lessThan(play.untilMs);
+    const once = runConfigurationChange(scenario);
+    const often = runConfigurationChange({ ...scenario, changes });
+    expect(often.wholeMs).to.be.lessThan(scenario.untilMs);
     expect(often.bytes / once.bytes).to.be.at.most(1.5);
     expect(often.lateMs - once.lateMs).to.be.at.most(LATE_MS);
   });
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -131,22 +131,22 @@
   it('give all entries, restarted at once while the store is out, a large configuration', async () => {
     const prefixes = Array.from({ length: 1_500 }, (_, at) => `/many/${at}/`);
     bench.putConfiguration(['/q/', ...prefixes]);
-    const agents = ['agent-1', 'agent-2', 'agent-3'];
-    const isKept = (agent: string): boolean =>
+    const executors = ['agent-1', 'agent-2', 'agent-3'];
+    const isKept = (executor: string): boolean =>
       bench
-        .readOutput(agent)
+        .readOutput(executor)
         .split('\n')
         .some((line) => line.includes('"configuration-kept"') && line.includes(`"version":${bench.version}`));
-    await bench.waitFor(() => agents.every(isKept), 'a kept text');
+    await bench.waitFor(() => executors.every(isKept), 'a kept text');
     bench.store.fault = 'busy';
-    for (const entry of ['entry-1', 'entry-2']) bench.signal(entry, 'SIGKILL');
-    for (const entry of ['entry-1', 'entry-2']) {
-      await bench.waitForExit(entry);
-      await bench.startDaemon(entry);
+    for (const dispatcher of ['entry-1', 'entry-2']) bench.signal(dispatcher, 'SIGKILL');
+    for (const dispatcher of ['entry-1', 'entry-2']) {
+      await bench.waitForExit(dispatcher);
+      await bench.startDaemon(dispatcher);
     }
-    for (const entry of ['entry-1', 'entry-2']) {
-      await bench.waitUntilReady(entry);
-      expect((await bench.get(entry, '/many/1499/')).body).to.equal('{"pending":0}');
+    for (const dispatcher of ['entry-1', 'entry-2']) {
+      await bench.waitUntilReady(dispatcher);
+      expect((await bench.get(dispatcher, '/many/1499/')).body).to.equal('{"pending":0}');
     }
     expect((await bench.submit('entry-1', 'after', 4, 30)).status).to.equal(200);
   });
@@ -154,10 +154,10 @@
   it('use the upstream of a restarted agent before it reports itself again', async () => {
     await bench.waitFor(() => bench.store.countKeys() === 3);
     for (const runner of bench.runners) runner.mute = true;
-    for (const agent of ['agent-1', 'agent-2', 'agent-3']) {
-      bench.signal(agent, 'SIGKILL');
-      await bench.waitForExit(agent);
-      await bench.startDaemon(agent);
+    for (const executor of ['agent-1', 'agent-2', 'agent-3']) {
+      bench.signal(executor, 'SIGKILL');
+      await bench.waitForExit(executor);
+      await bench.startDaemon(executor);
     }
     let tries = 0;
     await bench.waitFor(
@@ -174,8 +174,8 @@
       bench.putConfiguration(['/q/', prefix]);
       bench.store.forget();
       bench.store.fault = 'none';
-      for (const entry of ['entry-1', 'entry-2']) {
-        await bench.waitFor(async () => (await bench.get(entry, prefix)).status === 200);
+      for (const dispatcher of ['entry-1', 'entry-2']) {
+        await bench.waitFor(async () => (await bench.get(dispatcher, prefix)).status === 200);
       }
     }
   });
--- a/test/poisonTasks.test.ts
+++ b/test/poisonTasks.test.ts
@@ -2,11 +2,11 @@
 
 import { createRandom } from '../src/_lib/createRandom.js';
 import { CrashModel } from './fakes/CrashModel.js';
-import type { CrashPlay, ModelJob } from './fakes/CrashModel.js';
-import { DispatchWorld } from './fakes/DispatchWorld.js';
+import type { CrashScenario, ModelJob } from './fakes/CrashModel.js';
+import { DispatchSimulation } from './fakes/DispatchSimulation.js';
 
 const LIMIT = 2;
-const PLAY: CrashPlay = { seed: 1, crashLimit: LIMIT, upstreams: 18, domains: 3, entries: 3 };
+const PLAY: CrashScenario = { seed: 1, crashLimit: LIMIT, upstreams: 18, domains: 3, dispatchers: 3 };
 const SEEDS = [1, 2, 3, 4, 5];
 /** Jobs beside those that crash upstreams; each has two tasks. */
 const OTHERS = 100;
@@ -57,8 +57,8 @@
       const model = new CrashModel({ ...PLAY, seed });
       const nextRandom = createRandom(seed);
       const poisoned = playJobs(model, 3, (now) => {
-        if (now % 900 === 0 && now < 6_000) model.killEntry(Math.floor(nextRandom() * PLAY.entries));
-        if (now % 700 === 0 && now < 6_000) model.killAgent(Math.floor(nextRandom() * PLAY.upstreams));
+        if (now % 900 === 0 && now < 6_000) model.killDispatcher(Math.floor(nextRandom() * PLAY.dispatchers));
+        if (now % 700 === 0 && now < 6_000) model.killExecutor(Math.floor(nextRandom() * PLAY.upstreams));
       });
       for (const { lateStarts } of poisoned) expect(lateStarts).to.be.at.most(3);
       expect(countOutcomes(listInnocent(model))['failed'] ?? 0).to.equal(0);
@@ -96,7 +96,7 @@
     const model = new CrashModel({ ...PLAY, crashLimit: 1 });
     const job = model.submit(1, TASK_MS, 0);
     model.advance(1_000);
-    model.killEntry(job.entry);
+    model.killDispatcher(job.dispatcher);
     model.advance(8_000);
     expect([job.outcome, job.crashes, job.submissions]).to.deep.equal(['failed', 2, 2]);
   });
@@ -104,16 +104,16 @@
   for (const keepsIds of [false, true]) {
     const name = keepsIds ? 'under the id that they had' : 'under new ids';
     it(`are found by executors and dispatchers, though upstreams come back ${name}`, async () => {
-      const world = new DispatchWorld(3, keepsIds, LIMIT);
-      await world.advance(200);
-      const crashedAt = world.submitPoison(0, 100, 12_000);
+      const simulation = new DispatchSimulation(3, keepsIds, LIMIT);
+      await simulation.advance(200);
+      const crashedAt = simulation.submitPoison(0, 100, 12_000);
       for (let job = 0; job < 20; job += 1) {
-        world.submit(job, 2, 100, 12_000);
-        await world.advance(20);
+        simulation.submit(job, 2, 100, 12_000);
+        await simulation.advance(20);
       }
-      await world.advance(12_000);
-      const { submitted, ...outcomes } = (await world.settle(), world.counts);
-      world.close();
+      await simulation.advance(12_000);
+      const { submitted, ...outcomes } = (await simulation.settle(), simulation.counts);
+      simulation.close();
       expect(crashedAt.length).to.be.within(LIMIT, LIMIT + 1);
       expect(submitted).to.equal(21);
       expect(outcomes).to.include({ completed: 20, failed: 1 });
--- a/test/promises.test.ts
+++ b/test/promises.test.ts
@@ -1,7 +1,7 @@
 import * as fc from 'fast-check';
 
 import { FakeWorld } from './fakes/FakeWorld.js';
-import { playOvertaking, RUN_AGENTS, RUN_ENTRIES, worldCommands } from './fakes/worldCommands.js';
+import { runOvertaking, RUN_AGENTS, RUN_ENTRIES, worldCommands } from './fakes/worldCommands.js';
 
 /** Runs of each group in CI; `npm run soak` does more. */
 const RUNS = 60;
@@ -33,10 +33,10 @@
     const faults = { drop: 0.1, repeat: 0.05, late: 0.2 };
     const world = new FakeWorld({ seed: -1073741820, entries: RUN_ENTRIES, agents: RUN_AGENTS, faults });
     for (const agent of ['agent-4', 'agent-3', 'agent-0']) world.leave(agent);
-    playOvertaking(world, 0, 0, 5, 4_000);
+    runOvertaking(world, 0, 0, 5, 4_000);
     world.cutDomain(2);
-    playOvertaking(world, 0, 0, 5, 7_969);
-    playOvertaking(world, 1, 1, 5, 4_000);
+    runOvertaking(world, 0, 0, 5, 7_969);
+    runOvertaking(world, 1, 1, 5, 4_000);
     world.settle();
   });
 });
--- a/test/restartedUpstreams.test.ts
+++ b/test/restartedUpstreams.test.ts
@@ -33,14 +33,14 @@
   afterEach(async () => {
     await bench.stop();
     expect(bench.doubled).to.deep.equal([]);
-    expect(bench.beyondRoom).to.deep.equal([]);
+    expect(bench.beyondCapacity).to.deep.equal([]);
   });
 
   /** Ends the first upstream and starts it again, and waits until both upstreams take work. */
   async function restartFirst(): Promise<void> {
     await bench.runners[0]?.restart(200);
-    const before = bench.startsAt.get('i-1') ?? 0;
-    for (let round = 0; (bench.startsAt.get('i-1') ?? 0) === before; round += 1) {
+    const before = bench.startsByRunner.get('i-1') ?? 0;
+    for (let round = 0; (bench.startsByRunner.get('i-1') ?? 0) === before; round += 1) {
       const { status } = await bench.submit('entry-1', `again${round}`, WIDE, 20);
       expect(status).to.equal(200);
     }
@@ -55,9 +55,9 @@
     const reports = runner.beats;
     await bench.waitFor(() => runner.beats > reports);
     await sleep(HEARD_MS);
-    const before = bench.startsAt.get('i-1');
+    const before = bench.startsByRunner.get('i-1');
     expect((await bench.submit('entry-1', 'later', WIDE, 100)).status).to.equal(200);
-    expect(bench.startsAt.get('i-1')).to.equal(before);
+    expect(bench.startsByRunner.get('i-1')).to.equal(before);
   });
 
   it('has what ends there taken for ended', async () => {
--- a/test/scarceRoom.test.ts
+++ b/test/scarceCapacity.test.ts
@@ -6,7 +6,7 @@
 import { ForecastAdmission } from '../src/process/dispatcher/Admission.js';
 import { FairOrder } from '../src/process/dispatcher/FairOrder.js';
 import { countService } from './fakes/countService.js';
-import type { Service } from './fakes/countService.js';
+import type { ServiceSummary } from './fakes/countService.js';
 import { evaluateJob, LOADS, ScarceCapacityModel } from './fakes/ScarceCapacityModel.js';
 import type { ScarceCapacityJob, ScarceCapacityRun } from './fakes/ScarceCapacityModel.js';
 
@@ -27,16 +27,16 @@
 
 function play(
   load: Omit<ScarceCapacityRun, 'seed'>,
-  ways: Partial<ScarceCapacityRun>,
+  policies: Partial<ScarceCapacityRun>,
   seeds = SEEDS,
 ): ScarceCapacityJob[] {
-  return seeds.flatMap((seed) => new ScarceCapacityModel({ ...load, ...ways, seed }).run().jobs);
+  return seeds.flatMap((seed) => new ScarceCapacityModel({ ...load, ...policies, seed }).run().jobs);
 }
 
-function playLoad(name: string, ways: Partial<ScarceCapacityRun>): Service {
+function playLoad(name: string, policies: Partial<ScarceCapacityRun>): ServiceSummary {
   const load = LOADS[name];
   if (!load) throw new Error(`there is no load ${name}`);
-  return countService(play(load, ways));
+  return countService(play(load, policies));
 }
 
 /** Jobs of each verdict that arrived in a stretch of time. */
@@ -136,8 +136,8 @@
   it('go on serving in the room that is left when agents vanish or are emptied', () => {
     const burst = { queue: 'large', fromMs: 1_000, untilMs: 5_000, factor: 2.3 };
     const base = { lengthMs: 8_000, bursts: [burst] };
-    const outage = { agents: 3, fromMs: 2_000, untilMs: 4_000 };
-    for (const failure of [{ outage }, { emptied: { agents: 2, fromMs: 2_000 } }]) {
+    const outage = { executors: 3, fromMs: 2_000, untilMs: 4_000 };
+    for (const failure of [{ outage }, { emptied: { executors: 2, fromMs: 2_000 } }]) {
       const jobs = play({ ...base, ...failure }, NEW);
       expect(jobs.filter(({ outcome }) => outcome === undefined)).to.have.lengthOf(0);
       const today = play({ ...base, ...failure }, TODAY);
@@ -147,7 +147,7 @@
 
   // Pattern: all power is lost for 1.5 s; callers come at once, the room 0.5 s later.
   it('keep who can still be in time when all room comes back, and are calm a second later', () => {
-    const outage = { agents: 6, fromMs: 3_000, untilMs: 4_500 };
+    const outage = { executors: 6, fromMs: 3_000, untilMs: 4_500 };
     const jobs = play({ lengthMs: 8_000, bursts: [], outage }, NEW);
     const back = countVerdicts(jobs, 4_400, 4_500);
     expect(back['in-time'] ?? 0).to.be.above(0);
--- a/test/silentConnections.test.ts
+++ b/test/silentConnections.test.ts
@@ -48,8 +48,8 @@
     it('go on with what runs, and tell its ends on new links', async () => {
       const open = bench.submit('entry-1', 'open', TASKS, TASK_MS);
       await bench.waitFor(() => bench.starts.size === TASKS);
-      bench.proxies.get('entry-1')?.silenceOpen();
-      bench.proxies.get('entry-2')?.silenceOpen();
+      bench.proxies.get('entry-1')?.silenceConnections();
+      bench.proxies.get('entry-2')?.silenceConnections();
       expect((await open).body).to.equal('{"state":"completed"}');
       expect([...bench.starts.values()].filter((count) => count !== 1)).to.deep.equal([]);
     });
@@ -57,7 +57,8 @@
     it('go on with what runs at upstreams, and start more there', async () => {
       const open = bench.submit('entry-1', 'open', TASKS, TASK_MS);
       await bench.waitFor(() => bench.starts.size === TASKS);
-      for (const runner of ['runner-1', 'runner-2', 'runner-3']) bench.proxies.get(runner)?.silenceOpen();
+      for (const runner of ['runner-1', 'runner-2', 'runner-3'])
+        bench.proxies.get(runner)?.silenceConnections();
       const later = bench.submit('entry-2', 'later', TASKS, 30);
       expect((await open).body).to.equal('{"state":"completed"}');
       expect((await later).body).to.equal('{"state":"completed"}');
@@ -65,10 +66,10 @@
     });
 
     it('hear of a new configuration from the store', async () => {
-      bench.proxies.get('store')?.silenceOpen();
+      bench.proxies.get('store')?.silenceConnections();
       bench.putConfiguration(['/q/', '/r/']);
-      for (const entry of ['entry-1', 'entry-2']) {
-        await bench.waitFor(async () => (await bench.get(entry, '/r/')).status === 200);
+      for (const dispatcher of ['entry-1', 'entry-2']) {
+        await bench.waitFor(async () => (await bench.get(dispatcher, '/r/')).status === 200);
       }
     });
 
@@ -76,9 +77,9 @@
       const served = await bench.submit('entry-1', 'before', TASKS, 30);
       expect(served.status).to.equal(200);
       for (let round = 0; round < 3; round += 1) {
-        bench.silenceOpen();
-        const answers = ['entry-1', 'entry-2'].map((entry) =>
-          bench.submit(entry, `round${round}${entry}`, TASKS, 30),
+        bench.silenceConnections();
+        const answers = ['entry-1', 'entry-2'].map((dispatcher) =>
+          bench.submit(dispatcher, `round${round}${dispatcher}`, TASKS, 30),
         );
         for (const { body } of await Promise.all(answers)) expect(body).to.equal('{"state":"completed"}');
       }
@@ -124,7 +125,7 @@
     it('lose one call, however many connections were kept', async () => {
       await Promise.all(Array.from({ length: CALLS }, () => call()));
       answersWait = false;
-      proxy.silenceOpen();
+      proxy.silenceConnections();
       const lost = await call().catch((error: unknown) => String(error));
       expect(lost).to.include('no answer');
       await call();
--- a/test/suspendedVms.test.ts
+++ b/test/suspendedVms.test.ts
@@ -12,7 +12,7 @@
 import { FakeCaller } from './fakes/FakeCaller.js';
 import { FakeClock } from './fakes/FakeClock.js';
 import { FakeUpstream } from './fakes/FakeUpstream.js';
-import { GatedExecutor, ProcessGate } from './fakes/ProcessGate.js';
+import { GatedUpstreamApi, ProcessGate } from './fakes/ProcessGate.js';
 import { buildStartOrder, buildUpstreamReport } from './fakes/upstreamFixtures.js';
 
 const ENTRY = 'entry@1';
@@ -25,7 +25,7 @@
 const LONG_TASK_MS = 60_000;
 
 describe('a VM that is suspended', () => {
-  let world: FakeClock;
+  let simulation: FakeClock;
   let vm: ProcessGate;
   let upstream: FakeUpstream;
   let core: Executor;
@@ -37,7 +37,7 @@
   /** Creates an executor that an entry has proved itself to, with its upstream on the same VM or on another. */
   async function createCore(isUpstreamThere: boolean): Promise<void> {
     upstream = new FakeUpstream(
-      isUpstreamThere ? { now: () => vm.readSteady(), sleep: (ms) => vm.sleep(ms) } : world,
+      isUpstreamThere ? { now: () => vm.readSteady(), sleep: (ms) => vm.sleep(ms) } : simulation,
     );
     upstream.taskMs = LONG_TASK_MS;
     core = new Executor(
@@ -45,7 +45,7 @@
       { leaseMs: LEASE_MS, maxLeaseMs: 1_000, stopMs: 50, orphanAfterMs: ORPHAN_AFTER_MS },
       vm,
       {
-        openApi: () => new GatedExecutor(upstream, vm),
+        openApi: () => new GatedUpstreamApi(upstream, vm),
         sendResult: (_, { name, end, reason }) => {
           results.push(`${name.index} ${end} ${reason}`);
           leaseAtEnd = upstream.leaseUntil;
@@ -58,23 +58,29 @@
       },
     );
     core.handleReport(buildUpstreamReport({ clockMs: upstream.clockMs }));
-    await world.advance(50);
+    await simulation.advance(50);
     core.handleWelcome(ENTRY, vm.now());
   }
 
   /** Suspends the VM, and goes on until it has just woken. */
   async function suspend(): Promise<void> {
     vm.suspend(SUSPENDED_MS);
-    await world.advance(SUSPENDED_MS - 1);
+    await simulation.advance(SUSPENDED_MS - 1);
   }
 
-  function echo(entry: string): void {
-    core.handlePong(entry, { type: 'pong', at: vm.now(), version: 1, typicalSpeed: 1, isWaiting: false });
+  function echo(dispatcher: string): void {
+    core.handlePong(dispatcher, {
+      type: 'pong',
+      at: vm.now(),
+      version: 1,
+      typicalSpeed: 1,
+      isWaiting: false,
+    });
   }
 
   beforeEach(() => {
-    world = new FakeClock();
-    vm = new ProcessGate(world);
+    simulation = new FakeClock();
+    vm = new ProcessGate(simulation);
     results = [];
     logged = [];
   });
@@ -86,9 +92,9 @@
     await createCore(false);
     const order = buildStartOrder(0, { expiresAt: vm.now() + START_EXPIRY_MS });
     await suspend();
-    await world.advance(1);
+    await simulation.advance(1);
     core.handleStart(ENTRY, order);
-    await world.advance(20);
+    await simulation.advance(20);
     expect([results, upstream.starts]).to.deep.equal([['0 not-run expired'], 0]);
   });
 
@@ -96,9 +102,9 @@
   it('takes no order from a dispatcher that has not echoed since', async () => {
     await createCore(false);
     await suspend();
-    await world.advance(1);
+    await simulation.advance(1);
     core.handleStart(ENTRY, buildStartOrder(0));
-    await world.advance(20);
+    await simulation.advance(20);
     expect([results, upstream.starts]).to.deep.equal([['0 not-run entry-unproven'], 0]);
   });
 
@@ -106,10 +112,10 @@
   it('stops what it ran on waking, before any lease is renewed', async () => {
     await createCore(true);
     core.handleStart(ENTRY, buildStartOrder(0));
-    await world.advance(100);
+    await simulation.advance(100);
     const { leaseUntil } = upstream;
     await suspend();
-    await world.advance(100);
+    await simulation.advance(100);
     expect(results).to.deep.equal(['0 stopped entry-silent']);
     expect(leaseAtEnd).to.equal(leaseUntil);
   });
@@ -120,10 +126,10 @@
       await createCore(true);
       upstream.fates.push('lost', 'lost', 'lost', 'lost');
       core.handleStart(ENTRY, buildStartOrder(0));
-      await world.advance(offsetMs);
+      await simulation.advance(offsetMs);
       upstream.fates.length = 0;
       await suspend();
-      await world.advance(300);
+      await simulation.advance(300);
       expect(upstream.starts, `suspended after ${offsetMs} ms`).to.equal(0);
       core.close();
     }
@@ -133,11 +139,11 @@
   it('stops what ran before also for a dispatcher that echoes at once', async () => {
     await createCore(true);
     core.handleStart(ENTRY, buildStartOrder(0));
-    await world.advance(100);
+    await simulation.advance(100);
     await suspend();
     vm.wake();
     echo(ENTRY);
-    await world.advance(100);
+    await simulation.advance(100);
     expect(results).to.deep.equal(['0 stopped entry-silent']);
   });
 
@@ -147,12 +153,12 @@
     core.handleStart(OTHER_ENTRY, buildStartOrder(0));
     core.handleWelcome(OTHER_ENTRY, vm.now());
     core.handleStart(OTHER_ENTRY, buildStartOrder(1));
-    await world.advance(100);
+    await simulation.advance(100);
     await suspend();
     vm.wake();
     echo(ENTRY);
     core.handleStart(ENTRY, buildStartOrder(2));
-    await world.advance(100);
+    await simulation.advance(100);
     expect(results.slice(1)).to.deep.equal(['1 stopped entry-silent']);
     expect([...upstream.running.keys()]).to.deep.equal(['job/0/2']);
   });
@@ -162,10 +168,10 @@
     await createCore(true);
     core.handleWelcome(OTHER_ENTRY, vm.now());
     core.handleStart(OTHER_ENTRY, buildStartOrder(1));
-    await world.advance(ORPHAN_AFTER_MS - 20);
+    await simulation.advance(ORPHAN_AFTER_MS - 20);
     echo(ENTRY);
     upstream.silent = true;
-    await world.advance(30);
+    await simulation.advance(30);
     core.handleStart(ENTRY, buildStartOrder(2));
     expect(core.buildHello(OTHER_ENTRY).holding).to.have.length(1);
     expect(logged).to.include('entry-silent');
@@ -178,11 +184,11 @@
         await createCore(isUpstreamThere);
         results.length = 0;
         core.handleStart(ENTRY, buildStartOrder(0));
-        await world.advance(100);
+        await simulation.advance(100);
         upstream.silent = true;
-        await world.advance(offsetMs);
+        await simulation.advance(offsetMs);
         await suspend();
-        while (results.length === 0) await world.advance(5);
+        while (results.length === 0) await simulation.advance(5);
         upstream.applyTime();
         expect(upstream.running.size, `suspended after ${offsetMs} ms`).to.equal(0);
         core.close();
@@ -195,7 +201,7 @@
     const tokens = new FencingTokens(1_000_000, vm);
     const before = tokens.take();
     await suspend();
-    await world.advance(1);
+    await simulation.advance(1);
     expect(tokens.take()).to.be.greaterThan(before);
   });
 
@@ -219,7 +225,11 @@
       results: [],
       entryLife: 'me',
     };
-    const agent = dispatcher.handleHello({ type: 'agent-hello', ...hello, orphanMs: 1_250 }, 'me', vm.now());
+    const executor = dispatcher.handleHello(
+      { type: 'agent-hello', ...hello, orphanMs: 1_250 },
+      'me',
+      vm.now(),
+    );
     const description = { upstream: 'u1', service: ROUTE.service, labels: [], capacity };
     const room = {
       description,
@@ -229,7 +239,7 @@
       startsSeen: 0,
       speed: 1,
     } as const;
-    dispatcher.handlePing(agent, { type: 'ping', version: 1, at: 1, room, progress: [] }, vm.now());
+    dispatcher.handlePing(executor, { type: 'ping', version: 1, at: 1, room, progress: [] }, vm.now());
     const step = { ...STEP, count: 1 };
     dispatcher.submit(
       { id: 'job', route: ROUTE, spec: '', steps: [step], patienceMs: 60_000 },
@@ -238,7 +248,7 @@
     );
     dispatcher.place(vm.now());
     await suspend();
-    await world.advance(1);
+    await simulation.advance(1);
     guard.update(vm.now());
     expect(caller.answers).to.deep.equal([{ kind: 'interrupted', reason: 'paused' }]);
   });
