--- a/test/fakes/AddressUpstreamApi.ts
+++ b/test/fakes/AddressUpstreamApi.ts
@@ -1,4 +1,4 @@
-/** Orders to an address, where lives of an upstream follow each other under one id. */
+/** Client of an address at which successive incarnations of an upstream share one id. */
 import { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type {
   LeaseAnswer,
@@ -11,9 +11,9 @@
 } from '../../src/ports/UpstreamApi.js';
 import type { FakeUpstream } from './FakeUpstream.js';
 
-/** Each order reaches the life that is there when it is sent. */
+/** Sends each call to the incarnation that listens when the call is made. */
 export class AddressUpstreamApi extends UpstreamApi {
-  /** @param findIncarnation - the life that is there now */
+  /** @param findIncarnation - returns the current incarnation */
   constructor(private readonly findIncarnation: () => FakeUpstream) {
     super();
   }
--- a/test/fakes/CapacityModel.ts
+++ b/test/fakes/CapacityModel.ts
@@ -1,9 +1,9 @@
 /**
- * Dispatchers that share executors, on virtual time. Dispatchers, what executors decide and the pace in which they tell
- * room are the product's own; links and upstreams are not.
+ * Model of dispatchers that share executors, on virtual time. Dispatchers, executors and the rate of capacity reports are
+ * production code; links and upstreams are simulated.
  *
- * The pattern is that of several schedulers with shared, stale state: an optimistic concurrency conflict. Each dispatcher
- * places by a copy of an executor's room that is some ms old, and so do the others; what does not fit any more comes back.
+ * It reproduces optimistic concurrency conflicts between schedulers: each dispatcher places tasks by a stale copy of an
+ * executor's capacity, and the executor rejects starts that no longer fit.
  */
 import { createRandom } from '../../src/_lib/createRandom.js';
 import { Dispatcher } from '../../src/process/dispatcher/Dispatcher.js';
@@ -29,7 +29,7 @@
 const LARGER = 1.5;
 const SLOWER = 1.7;
 const FASTER = 0.7;
-/** Kinds of jobs: how many of a thousand, tasks, and work of a task by the caller's estimate, ms. */
+/** Kinds of jobs: share of a thousand, number of tasks, and the caller's estimate of one task, ms. */
 const KINDS = [
   { share: 245, count: 8, estimateMs: 73 },
   { share: 44, count: 4, estimateMs: 1_086 },
@@ -37,61 +37,61 @@
 ];
 const TASK = { cpuMilli: 1_300, memoryMb: 64, gpus: 0 };
 const TASK_SPREAD = 0.2;
-/** Spread of a task's work about its estimate. */
+/** Relative spread of a task's duration around its estimate. */
 const WORK_SPREAD = 0.4;
-/** Demand of a failure domain is a wave: by how much it swings, its period, and how far the domains are apart, ms. */
+/** Demand of a failure domain is a cosine wave: amplitude, period and phase shift between domains, ms. */
 const SWING = 0.55;
 const PERIOD_MS = 17_000;
 const PHASE_MS = 1_400;
-/** Part of a failure domain's callers that its first dispatcher gets. */
+/** Share of a failure domain's jobs that its first dispatcher receives. */
 const FIRST_DISPATCHER_SHARE = 0.65;
 const CALLER_TIMEOUT_MS = 1_528;
 const TARGET_LATENCY_MS = 61;
 const TICK_MS = 40;
 const TIMES = deriveDispatchTimes({ resubmitMs: 1_300, maxLeaseMs: 1_000 } as DispatchSettings);
 
-/** What is played. */
+/** Parameters of a run. */
 export interface CapacityScenario {
   readonly sharing: CapacitySharingKind;
-  /** Work that is asked for at the peak of all domains together, as a share of the room. */
+  /** Requested work at the peak of all domains together, as a share of the capacity. */
   readonly load: number;
-  /** One way between dispatcher and executor, ms. */
+  /** One-way transit time between dispatcher and executor, ms. */
   readonly transitMs: number;
   readonly seed: number;
-  /** How long is played, and from when on is counted, ms; the peak is in the middle of what is counted. */
+  /** Length of the run and start of counting, ms; the peak is in the middle of the counted interval. */
   readonly durationMs: number;
   readonly countFromMs: number;
-  /** Number of dispatchers that are of the version before: they tell no demand. */
+  /** Number of dispatchers of the previous version, which report no demand. */
   readonly earlierDispatchers?: number;
-  /** What happens, by when, ms. */
+  /** Events and the time of each, ms. */
   readonly events?: readonly { readonly at: number; readonly run: (model: CapacityModel) => void }[];
 }
 
-/** What came of it. */
+/** Counts of a run. */
 export interface CapacityCounts {
   starts: number;
-  /** Starts that came back as `full`. */
+  /** Starts that were rejected as `full`. */
   full: number;
   submitted: number;
   completed: number;
   inTime: number;
-  /** Messages of room, pings and echoes not counted, and bytes of all control messages. */
+  /** Capacity and demand messages without pings and pongs, and the bytes of all control messages. */
   capacityMessages: number;
   controlMessages: number;
   controlBytes: number;
-  /** Of the steps: mean share of the room that is free while tasks wait at a dispatcher that is linked to it. */
+  /** Sum over steps of the share of capacity that is free while a linked dispatcher has waiting tasks. */
   idleWhileWaiting: number;
   steps: number;
 }
 
-/** A dispatcher of the model. */
+/** Dispatcher with its links and its state. */
 export class ModelDispatcher {
   readonly core: Dispatcher;
   readonly incarnation: string;
   readonly links = new Map<string, ModelLink>();
-  /** A dispatcher that is frozen takes messages when it wakes; one that is dead takes none. */
+  /** A frozen dispatcher handles its messages when it resumes; a dead one drops them. */
   state: 'live' | 'frozen' | 'dead' = 'live';
-  /** Whether its messages are lost on their way, both ways. */
+  /** Whether messages in both directions are lost. */
   isCut = false;
   readonly inbox: (() => void)[] = [];
   private demandSentAt = -Infinity;
@@ -126,7 +126,7 @@
     return `10.0.0.${this.index}:1`;
   }
 
-  /** Takes a message of an executor. */
+  /** Handles a message of an executor. */
   receive(executor: string, message: ModelExecutorMessage): void {
     if (this.state === 'dead') return;
     if (this.state === 'frozen') return void this.inbox.push(() => this.receive(executor, message));
@@ -145,7 +145,7 @@
     if (message.type === 'result') this.core.handleResult(executor, message, now);
   }
 
-  /** Does what a turn of the daemon's loop does. */
+  /** Runs one iteration of the daemon's loop. */
   step(now: number): void {
     if (this.state !== 'live') return;
     if (now % TICK_MS === 0) this.core.tick(now);
@@ -171,7 +171,7 @@
   }
 }
 
-/** Plays one load. */
+/** Runs one scenario. */
 export class CapacityModel {
   readonly time = new VirtualTime();
   readonly dispatchers: ModelDispatcher[] = [];
@@ -199,7 +199,7 @@
     for (let index = 0; index < EXECUTORS; index += 1) this.addExecutor(index, 1);
   }
 
-  /** Plays to the end. */
+  /** Runs to the end and returns the counts. */
   async run(): Promise<CapacityCounts> {
     const { durationMs, events = [] } = this.scenario;
     for (const { at, run } of events) this.time.schedule(at, () => run(this));
@@ -214,7 +214,7 @@
     return this.count;
   }
 
-  /** Adds an executor, or another life of one. */
+  /** Adds an executor, or the next incarnation of one. */
   addExecutor(index: number, incarnation: number): void {
     const isLarger = index % 3 === 2;
     const slots = isLarger ? SLOTS * LARGER : SLOTS;
@@ -254,12 +254,12 @@
       if (wanted.has(dispatcher.address)) executor.link(dispatcher, dispatcher.address === home);
   }
 
-  /** Counts what is sent or comes back. */
+  /** Counts a start that was sent or rejected. */
   recordStart(what: 'starts' | 'full'): void {
     if (this.time.now() >= this.scenario.countFromMs) this.count[what] += 1;
   }
 
-  /** Counts a message that orders nothing. */
+  /** Counts a message other than a start, a stop or a result. */
   recordControlMessage(message: { readonly type: string }): void {
     if (this.time.now() < this.scenario.countFromMs) return;
     if (message.type === 'room' || message.type === 'demand') this.count.capacityMessages += 1;
@@ -285,7 +285,7 @@
     const { load, durationMs, countFromMs } = this.scenario;
     const peakAt = (durationMs + countFromMs) / 2;
     const middle = (DOMAINS.length - 1) / 2;
-    // Of all domains together: they swing one after the other.
+    // The domains peak one after another, so the total peak is below the sum of their peaks.
     let peak = 0;
     for (let domain = 0; domain < DOMAINS.length; domain += 1)
       peak += computeDemand((domain - middle) * PHASE_MS);
@@ -300,7 +300,7 @@
   }
 
   private submit(domain: number, now: number): void {
-    // Of two dispatchers the busier one is now the first, now the second: no order of links is to prefer it.
+    // Alternates which of the two dispatchers is busier, so that the order of links does not favour it.
     const isFirst = this.nextRandom() < FIRST_DISPATCHER_SHARE === (domain % 2 === 0);
     const dispatcher = this.dispatchers[isFirst ? domain : domain + DOMAINS.length];
     if (dispatcher?.state !== 'live') return;
@@ -334,13 +334,13 @@
     );
   }
 
-  /** A factor of mean 1 about which work spreads. */
+  /** Draws a factor with mean 1. */
   private drawFactor(spread: number): number {
     return 1 + spread * (this.nextRandom() + this.nextRandom() - 1);
   }
 }
 
-/** Jobs a ms that take all the room. */
+/** Jobs per ms that use the whole capacity. */
 const JOBS_PER_MS = computeCapacity() / computeMeanWork();
 
 function computeCapacity(): number {
--- a/test/fakes/CapacityModelExecutor.ts
+++ b/test/fakes/CapacityModelExecutor.ts
@@ -1,4 +1,4 @@
-/** An executor of `RoomModel`: the product's decisions and pace, on links and an upstream of the model. */
+/** Executor of `CapacityModel`: production code on simulated links and a simulated upstream. */
 import { Executor } from '../../src/process/executor/Executor.js';
 import { CapacityReportLimiter } from '../../src/process/executor/CapacityReportLimiter.js';
 import type {
@@ -22,10 +22,10 @@
 const PING_DUE = 0.9;
 const JOINT_PING_DUE = 0.5;
 
-/** What an executor sends. */
+/** Messages that an executor sends. */
 export type ModelExecutorMessage = Ping | CapacityChange | AttemptResult | ExecutorHello;
 
-/** A link as its executor keeps it. */
+/** State of a link at its executor. */
 export interface ModelLink {
   readonly executor: CapacityModelExecutor;
   readonly dispatcher: ModelDispatcher;
@@ -33,7 +33,7 @@
   roundTripMs: number | undefined;
   isWaiting: boolean;
   isReportDue: boolean;
-  /** The timer that tells room; undefined for none. */
+  /** Timer of the next capacity report; undefined for none. */
   timer: object | undefined;
   pingedAt: number;
 }
@@ -50,13 +50,13 @@
   readonly times: DispatchTimes;
 }
 
-/** What it tells its model. */
+/** Callbacks of an executor to its model. */
 export interface ModelExecutorEvents {
   readonly recordStart: (what: 'full') => void;
   readonly recordControlMessage: (message: { readonly type: string }) => void;
 }
 
-/** One life of an executor. */
+/** One incarnation of an executor. */
 export class CapacityModelExecutor {
   readonly links = new Set<ModelLink>();
   readonly core: Executor;
@@ -97,7 +97,7 @@
     this.report(options.capacity);
   }
 
-  /** The upstream reports its room. */
+  /** Handles a report of the upstream with a new capacity. */
   report(capacity: Resources): void {
     const { index, incarnation } = this.options;
     const id = `u${index}-${incarnation}`;
@@ -106,7 +106,7 @@
     this.core.handleReport(buildUpstreamReport({ id, service: ROUTE.service, capacity, sequence }));
   }
 
-  /** Links to an entry. */
+  /** Opens a link to a dispatcher. */
   link(dispatcher: ModelDispatcher, isHome: boolean): void {
     const link: ModelLink = {
       executor: this,
@@ -125,7 +125,7 @@
     if (isHome) this.core.setPreferred(dispatcher.incarnation);
   }
 
-  /** The process ends without a word, and its upstream's tasks with it. */
+  /** Ends the process without notice, and the tasks of its upstream. */
   end(): void {
     this.isDead = true;
     this.core.close();
@@ -135,25 +135,25 @@
     }
   }
 
-  /** The operators have emptied its failure domain. */
+  /** Marks its failure domain as emptied. */
   setEmptied(): void {
     this.isEmptied = true;
     this.core.setEmptied(true);
   }
 
-  /** The link has closed. */
+  /** Removes the link to a dispatcher. */
   unlink(dispatcher: ModelDispatcher): void {
     for (const link of [...this.links]) if (link.dispatcher === dispatcher) this.links.delete(link);
   }
 
-  /** Share of the room that nobody uses. */
+  /** Returns the unused share of the capacity. */
   readFreeShare(): number {
     if (this.isEmptied || this.isDead) return 0;
     const { free } = this.core;
     return Math.max(0, Math.floor(free.cpuMilli / 1_430)) / (this.options.capacity.cpuMilli / 1_300);
   }
 
-  /** Takes a message of an entry. */
+  /** Handles a message of a dispatcher. */
   receive(link: ModelLink, message: DispatcherMessage): void {
     if (this.isDead || !this.links.has(link)) return;
     const { incarnation } = link.dispatcher;
@@ -171,7 +171,7 @@
     this.core.handlePong(incarnation, message);
   }
 
-  /** Does what the daemon's timer does. */
+  /** Runs one tick of the daemon's timer. */
   step(now: number): void {
     if (this.isDead || Math.floor(now + this.options.index) % TICK_MS !== 0 || !Number.isInteger(now)) return;
     this.core.tick();
--- a/test/fakes/ConfigurationModel.ts
+++ b/test/fakes/ConfigurationModel.ts
@@ -1,9 +1,8 @@
 /**
- * Dispatchers and executors whose links carry only so many bytes a second, on virtual time, while the operators change
- * the configuration. The product's own exchange and pacing run unchanged; pings, echoes and starts share the links.
+ * Model of a configuration change over links of limited bandwidth, on virtual time. The exchange and its rate limiter are
+ * production code; pings, pongs and starts share the links.
  *
- * Messages leave a VM and reach another one in the order in which they were sent, so that one large message makes all
- * that come after it late.
+ * A link delivers messages in the order in which they were sent, so a large message delays all later ones.
  */
 import type { PeerMessage } from '../../src/connection/peer/peerMessages.js';
 import { createRandom } from '../../src/_lib/createRandom.js';
@@ -14,45 +13,45 @@
 import { FakeTimeline } from './FakeTimeline.js';
 
 const PING_MS = 173;
-/** One way of a message, ms. */
+/** One-way transit time of a message, ms. */
 const TRANSIT_MS = 0.5;
 const LINKS = 3;
-/** Bytes of a ping or an echo, and of a start. */
+/** Bytes of a ping or a pong, and of a start. */
 const PING_BYTES = 200;
 const START_BYTES = 1_500;
-/** Share of a dispatcher's link that starts take, and most of them a second: a wide link is not filled. */
+/** Share of a dispatcher's bandwidth that starts use, and the most starts per second. */
 const START_SHARE = 0.3;
 const MAX_STARTS_PER_S = 300;
-/** All dispatchers read a change from the store within this time, ms. */
+/** Time within which every dispatcher reads a change from the store, ms. */
 const STORE_MS = 250;
 const LIMITS = { maxBodyBytes: 1_000, headerTimeoutMs: 1_000, idleTimeoutMs: 1_000 };
 
-/** What is played. */
+/** Parameters of a run. */
 export interface ConfigurationScenario {
-  /** Of the link of each VM, Mbit a second. */
+  /** Bandwidth of each VM's link, Mbit/s. */
   readonly mbps: number;
   readonly dispatchers: number;
   readonly executors: number;
   readonly routes: number;
-  /** When the operators write a new version, ms; the first version is there before. */
+  /** Times at which the operators write a new version, ms; the first version exists from the start. */
   readonly changes: readonly number[];
-  /** When the play ends at the latest, ms. */
+  /** Longest duration of the run, ms. */
   readonly untilMs: number;
   readonly seed: number;
 }
 
-/** What was seen. */
+/** Results of a run. */
 export interface ConfigurationOutcome {
-  /** Latest start or echo beyond what the empty link takes, ms. */
+  /** Largest delay of a start or pong beyond its transmission time on an idle link, ms. */
   readonly lateMs: number;
-  /** When the last executor knew the services of the newest version, and when it held it whole, ms; infinite if never. */
+  /** When the last executor had the services, and all, of the newest version, ms; infinite if never. */
   readonly servicesMs: number;
   readonly wholeMs: number;
-  /** Bytes of messages about configurations. */
+  /** Bytes of all configuration messages. */
   readonly bytes: number;
 }
 
-/** A VM's link: what leaves and what arrives takes its turn. */
+/** Link of a VM with one outgoing and one incoming queue. */
 class ModelLink {
   private leavesAt = 0;
   private arrivesAt = 0;
@@ -62,19 +61,19 @@
     private readonly time: FakeTimeline,
   ) {}
 
-  /** Carries bytes to another VM. */
+  /** Sends bytes to another VM. */
   send(bytes: number, to: ModelLink, arrive: () => void): void {
     const now = this.time.now();
     this.leavesAt = Math.max(now, this.leavesAt) + this.computeTransmissionMs(bytes);
     this.time.schedule(this.leavesAt + TRANSIT_MS - now, () => to.receive(bytes, arrive));
   }
 
-  /** Time that bytes take on the empty link, ms. */
+  /** Transmission time on an idle link, ms. */
   computeTransmissionMs(bytes: number): number {
     return (bytes * 8) / (this.mbps * 1_000);
   }
 
-  /** What arrives has begun to arrive while it left: only what came just before it makes it wait. */
+  /** Receives bytes; arrival overlaps with sending, so only earlier arrivals cause a delay. */
   private receive(bytes: number, arrive: () => void): void {
     const now = this.time.now();
     this.arrivesAt = Math.max(now, this.arrivesAt + this.computeTransmissionMs(bytes));
@@ -87,7 +86,7 @@
   readonly exchange: OperatorExchange;
 }
 
-/** The deployment. */
+/** Deployment of dispatchers and executors. */
 class ConfigurationModel {
   readonly time = new FakeTimeline();
   readonly executors: ModelNode[] = [];
@@ -190,10 +189,10 @@
 }
 
 /**
- * Plays changes of the configuration.
+ * Simulates configuration changes.
  *
  * @param scenario - links, processes and changes
- * @returns how late other messages were, and when all were up to date
+ * @returns delay of other messages, and when all executors were up to date
  */
 export function runConfigurationChange(scenario: ConfigurationScenario): ConfigurationOutcome {
   const model = new ConfigurationModel(scenario);
@@ -202,7 +201,7 @@
   let behind = executors.length;
   let unaware = executors.length;
   time.runUntil(scenario.untilMs, () => {
-    // Executors come up to date one after another; only the last one counts.
+    // Only the last executor to be updated matters, so each one is checked until it is up to date.
     while (unaware > 0 && executors[unaware - 1]?.exchange.services?.has(name)) unaware -= 1;
     if (unaware === 0 && model.servicesMs === Infinity) model.servicesMs = time.now();
     while (behind > 0 && executors[behind - 1]?.exchange.versions.version === newest) behind -= 1;
--- a/test/fakes/CongestionModel.ts
+++ b/test/fakes/CongestionModel.ts
@@ -1,10 +1,9 @@
 /**
- * Dispatchers whose links carry only so many bytes a second, and agents with room, on virtual time. The product's own
- * dispatcher runs unchanged.
+ * Model of dispatchers on links of limited bandwidth, on virtual time. The dispatchers are production code; executors
+ * always have free capacity.
  *
- * The pattern is a metastable failure, here a congestion collapse: a short overload (the trigger) makes starts wait for
- * the link for longer than they are good for; they come back as expired and are sent again, and what is sent for
- * nothing keeps the link full when the overload is over. What tells it from an overload is that it does not end.
+ * It reproduces a metastable failure, congestion collapse: during a short overload starts expire in the link's queue and
+ * are sent again, and these repeats keep the link full after the overload has ended.
  */
 import type {
   AttemptResult,
@@ -21,46 +20,46 @@
 import type { JobOutcome } from '../../src/request/dispatch/submission.js';
 import { ROUTE, STEP, WIDE_LIMITS } from './dispatchFixtures.js';
 
-/** One step of the virtual time, ms. */
+/** Step of the virtual time, ms. */
 const STEP_MS = 1;
 const TICK_MS = 40;
-/** One way of a message, ms, as between two failure domains. */
+/** One-way transit time between two failure domains, ms. */
 const TRANSIT_MS = 1;
-/** Time that a task works, ms, and that its caller waits. */
+/** Duration of a task, and the caller's timeout, ms. */
 const WORK_MS = 60;
 const CALLER_TIMEOUT_MS = 1_500;
-/** Time that the users allow beyond the work, ms. */
+/** Target latency beyond the work, ms. */
 const TARGET_LATENCY_MS = 61;
-/** Agents that a dispatcher is linked to, and tasks that fit one: more than any load here asks for. */
+/** Executors per dispatcher and the capacity of each; more than any load here needs. */
 const EXECUTORS = 8;
 const CAPACITY = { cpuMilli: 100_000, memoryMb: 1_000_000, gpus: 0 };
-/** Most jobs a second that are submitted to one dispatcher: a wide link is not filled. */
+/** Most jobs per second that one dispatcher receives, also on a fast link. */
 const MAX_PER_S = 400;
-/** Bytes of a message beside its job's text. */
+/** Bytes of a message without the job's text. */
 const START_BYTES = 200;
 const TIMES = deriveDispatchTimes({ resubmitMs: 1_300, maxLeaseMs: 1_000 } as DispatchSettings);
 
-/** What is played. */
+/** Parameters of a run. */
 export interface CongestionScenario {
-  /** Of each dispatcher's link, Mbit a second. */
+  /** Bandwidth of each dispatcher's link, Mbit/s. */
   readonly mbps: number;
   readonly dispatchers: number;
   /** Bytes of a job's text. */
   readonly bodyBytes: number;
-  /** Load before and after the trigger, as a share of what the link carries. */
+  /** Load before and after the overload, as a share of the link's bandwidth. */
   readonly load: number;
-  /** Load while the trigger lasts. */
+  /** Load during the overload. */
   readonly triggerLoad: number;
   readonly seed: number;
   readonly createWindow: () => SendWindow;
 }
 
-/** When the trigger begins, when it ends, and when the play ends, ms. */
+/** Start and end of the overload, and end of the run, ms. */
 export const TRIGGER_FROM_MS = 1_000;
 export const TRIGGER_UNTIL_MS = 5_000;
 export const RUN_MS = 9_000;
 
-/** Jobs of one second by the time of their submission. */
+/** Jobs that were submitted within one second, by outcome. */
 export interface SecondCount {
   submitted: number;
   completed: number;
@@ -81,13 +80,13 @@
 interface ModelExecutor {
   readonly id: string;
   startsSeen: number;
-  /** Time that the newest echo took, ms. */
+  /** Latest round-trip time, ms. */
   roundTripMs: number;
   readonly runs: Run[];
   nextPingAt: number;
 }
 
-/** One dispatcher, its link and the agents it is linked to; dispatchers share nothing but the time. */
+/** Dispatcher with its link and executors; dispatchers share only the time. */
 class ModelDispatcher {
   readonly seconds: SecondCount[] = [];
   private readonly core: Dispatcher;
@@ -127,7 +126,7 @@
     }
   }
 
-  /** Moves time on by one step. */
+  /** Advances time by one step. */
   step(now: number): void {
     this.now = now;
     this.submitDue();
@@ -165,7 +164,7 @@
     this.core.submit(submission, { answer }, this.now);
   }
 
-  /** Messages take their turn on the link. */
+  /** Queues a message on the link. */
   private send(id: string, message: DispatcherMessage): void {
     const bytes = START_BYTES + (message.type === 'start' ? message.spec.length : 0);
     this.linkFreeAt = Math.max(this.linkFreeAt, this.now) + (bytes * 8) / (this.scenario.mbps * 1_000);
@@ -228,10 +227,10 @@
 }
 
 /**
- * Plays a load that is under the link's rate, a trigger that is over it, and the load again.
+ * Simulates a load below the link's bandwidth, an overload, and the first load again.
  *
  * @param scenario - rates and loads
- * @returns the jobs of each second, over all dispatchers
+ * @returns the jobs of each second, summed over all dispatchers
  */
 export function runCongestion(scenario: CongestionScenario): SecondCount[] {
   const dispatchers = Array.from(
--- a/test/fakes/CrashModel.ts
+++ b/test/fakes/CrashModel.ts
@@ -1,6 +1,6 @@
 /**
- * Dispatchers, agents and upstreams that tasks crash, on virtual time. The product's own dispatchers run unchanged and
- * tell each other of suspects; agents do what `AgentCore` does with suspects and crashes.
+ * Model of tasks that crash upstreams, on virtual time. Dispatchers are production code and exchange suspects; the
+ * simulated executors handle suspects and crashes as `Executor` does.
  */
 import { createRandom } from '../../src/_lib/createRandom.js';
 import { OTHER_SUSPECT, UPSTREAM_CRASHED } from '../../src/connection/peer/peerMessages.js';
@@ -16,17 +16,17 @@
 const TICK_MS = 40;
 const PING_MS = 100;
 const TRANSIT_MS = 1;
-/** Time from a crash until the agent is certain that nothing runs there any more, and until the upstream is back, ms. */
+/** Time from a crash until the executor detects it, and until the upstream runs again, ms. */
 const DETECTION_MS = 700;
 const DOWN_MS = 3_000;
-/** Time that a caller waits, and until one that was cut off submits again, ms. */
+/** Caller's timeout, and the delay before it submits again, ms. */
 const CALLER_TIMEOUT_MS = 2_000;
 const RESUBMIT_MS = 1_300;
 /** Submissions after which a caller gives up. */
 const MAX_SUBMISSIONS = 5;
 const CAPACITY = { cpuMilli: 12_000, memoryMb: 1_000_000, gpus: 0 };
 
-/** What is played. */
+/** Parameters of a run. */
 export interface CrashScenario {
   readonly seed: number;
   readonly crashLimit: number;
@@ -57,10 +57,10 @@
   readonly seen: number[];
 }
 
-/** A job as its caller sees it. */
+/** Job with its submissions and its outcome. */
 export interface ModelJob {
   readonly id: string;
-  /** Task that crashes upstreams; -1 for none. */
+  /** Index of the task that crashes upstreams; -1 for none. */
   readonly poison: number;
   readonly steps: readonly StepNeed[];
   submissions: number;
@@ -68,13 +68,13 @@
   submittedAt: number;
   outcome: JobOutcome['kind'] | undefined;
   resubmitAt: number;
-  /** Starts of its poison task and crashes under it, and those starts that came after three. */
+  /** Starts of the poison task, crashes that it caused, and starts after the third crash. */
   starts: number;
   crashes: number;
   lateStarts: number;
 }
 
-/** A deployment in memory in which upstreams crash. */
+/** Deployment in memory in which upstreams crash. */
 export class CrashModel {
   readonly jobs: ModelJob[] = [];
   /** Crashes of upstreams by their cause. */
@@ -100,7 +100,7 @@
       for (const upstream of this.upstreams) this.link(dispatcher, upstream);
   }
 
-  /** Submits a job of tasks that run side by side. */
+  /** Submits a job of parallel tasks. */
   submit(tasks: number, estimateMs: number, poison = -1): ModelJob {
     const dispatcher = Math.floor(this.nextRandom() * this.dispatchers.length);
     const steps = [{ ...STEP, count: tasks, estimateMs }];
@@ -120,13 +120,13 @@
     return job;
   }
 
-  /** An upstream crashes by itself. */
+  /** Crashes an upstream without a poison task. */
   crash(number: number): void {
     this.crashes.other += 1;
     this.crashUpstream(this.upstreams[number] as ModelUpstream);
   }
 
-  /** All upstreams of a failure domain crash, or all there are; agents take a while to notice. */
+  /** Crashes all upstreams of a failure domain, or all upstreams, within 300 ms. */
   crashDomain(domain?: string): void {
     for (const { number, domain: own } of this.upstreams) {
       if (domain === undefined || own === domain)
@@ -134,7 +134,7 @@
     }
   }
 
-  /** An entry dies, and is back at once as another life; its callers are cut off. */
+  /** Replaces a dispatcher by its next incarnation; its callers lose their connections. */
   killDispatcher(number: number): void {
     const dispatcher = this.dispatchers[number] as ModelDispatcher;
     for (const upstream of this.upstreams)
@@ -150,7 +150,7 @@
         this.scheduleResubmission(job, this.now + RESUBMIT_MS);
   }
 
-  /** An agent dies with all that it knows; its next life stops what ran. */
+  /** Replaces an executor by its next incarnation, which stops all running tasks. */
   killExecutor(number: number): void {
     const upstream = this.upstreams[number] as ModelUpstream;
     upstream.incarnation += 1;
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Moves time on. */
+  /** Advances time. */
   advance(ms: number, act?: (now: number) => void): void {
     for (const until = this.now + ms; this.now < until;) {
       this.now += STEP_MS;
@@ -222,7 +222,7 @@
     });
   }
 
-  /** An agent tells another entry if the one that ordered a task is dead. */
+  /** Reports a lost task to its dispatcher, or to another one if that has been replaced. */
   private reportLost(run: Run, upstream: ModelUpstream): void {
     if (run.dispatcher.incarnation === run.dispatcherIncarnation)
       return this.sendResult(run, upstream, 'lost', UPSTREAM_CRASHED);
--- a/test/fakes/DispatchSimulation.ts
+++ b/test/fakes/DispatchSimulation.ts
@@ -1,7 +1,6 @@
 /**
- * Dispatchers, agents and upstreams on a virtual clock, with links that stall, reset and heal, processes that freeze
- * and die, and callers that leave and come again elsewhere. The product's own core runs unchanged; the promises are
- * checked as it goes.
+ * Simulation of dispatchers, executors and upstreams on a virtual clock, with link faults, process faults and callers
+ * that submit again elsewhere. Dispatchers and executors are production code; the invariants are checked after each step.
  */
 import { createRandom } from '../../src/_lib/createRandom.js';
 import type {
@@ -45,18 +44,18 @@
 const RECONNECT_MS = 60;
 const REPORT_MS = 500;
 const RESTART_MS = 300;
-/** Time of day when the runs begin, Unix ms. */
+/** Time of day at the start of a run, Unix ms. */
 const FIRST_START_MS = 1_000_000;
 const TIMES = deriveDispatchTimes({
   resubmitMs: RESUBMIT_MS,
   maxLeaseMs: 1_000,
 } as Parameters<typeof deriveDispatchTimes>[0]);
 
-/** A small deployment in memory. */
+/** Small deployment in memory. */
 export class DispatchSimulation {
   readonly clock = new FakeClock();
   readonly jobs: SimJob[] = [];
-  /** Counts for reports. */
+  /** Answers by kind. */
   readonly counts = { submitted: 0, completed: 0, interrupted: 0, refused: 0, rejected: 0, failed: 0 };
   private readonly nextRandom: () => number;
   private readonly dispatchers: SimDispatcher[];
@@ -68,13 +67,13 @@
   private lastPingAt = 0;
   private lastReportAt = 0;
   private readonly upstreams: SimUpstreams;
-  /** What the operators have written of the failure domains; undefined while nothing. */
+  /** Newest record of emptied failure domains; undefined for none. */
   private written: EmptiedDomains | undefined;
 
   /**
-   * @param seed - of what the parts draw
-   * @param keepsIds - whether lives of an upstream follow each other under one id, each with counts of its own
-   * @param crashLimit - of the dispatchers
+   * @param seed - of the random numbers
+   * @param keepsIds - whether incarnations of an upstream share an id, each with its own report sequence
+   * @param crashLimit - the dispatchers' crash limit
    */
   constructor(
     seed: number,
@@ -94,14 +93,14 @@
     this.submitAt(job, pickOne(this.dispatchers, dispatcherIndex), taskMs, patienceMs);
   }
 
-  /** Submits a job whose task crashes each upstream that begins it. Returns when each upstream crashed for it. */
+  /** Submits a job whose task crashes each upstream that starts it. Returns the times of the crashes. */
   submitPoison(dispatcherIndex: number, taskMs: number, patienceMs: number): number[] {
     this.upstreams.setPoison(`job${this.jobs.length}`, this.executors);
     this.submit(dispatcherIndex, 1, taskMs, patienceMs);
     return this.upstreams.crashedAt;
   }
 
-  /** A caller leaves and comes again at another entry after the time that callers keep. */
+  /** A caller leaves and submits again at another dispatcher after the resubmit delay. */
   async resubmit(jobIndex: number, dispatcherIndex: number): Promise<void> {
     const job = this.jobs[jobIndex % Math.max(1, this.jobs.length)];
     const last = job?.callers.at(-1);
@@ -111,15 +110,13 @@
     this.submitAt(job, pickOne(this.dispatchers, dispatcherIndex), 60, 3_000);
   }
 
-  /** An entry or agent stands still. */
+  /** Freezes a dispatcher or executor. */
   freeze(kind: 'entry' | 'agent', index: number, ms: number): void {
     const { gate } = kind === 'entry' ? pickOne(this.dispatchers, index) : pickOne(this.executors, index);
     gate.frozenUntil = this.clock.now() + ms;
   }
 
-  /**
-   * The VM of an entry or agent is suspended, alone or with its upstream, and its time of day is set by so much.
-   */
+  /** Suspends the VM of a dispatcher or executor, alone or with its upstream, and steps its time of day. */
   suspend(kind: 'entry' | 'agent', index: number, ms: number, withUpstream: boolean, stepMs: number): void {
     const process = kind === 'entry' ? pickOne(this.dispatchers, index) : pickOne(this.executors, index);
     process.gate.suspend(ms);
@@ -127,13 +124,13 @@
     if (kind === 'agent' && withUpstream) this.upstreams.suspend(pickOne(this.executors, index), ms);
   }
 
-  /** The time of day of an entry or agent is set. */
+  /** Steps the time of day of a dispatcher or executor. */
   stepTimeOfDay(kind: 'entry' | 'agent', index: number, ms: number): void {
     const { gate } = kind === 'entry' ? pickOne(this.dispatchers, index) : pickOne(this.executors, index);
     gate.stepTimeOfDay(ms);
   }
 
-  /** A process dies and comes back as another life. */
+  /** Kills a process; its next incarnation starts later. */
   kill(kind: 'entry' | 'agent', index: number): void {
     if (kind === 'entry') return this.killDispatcher(pickOne(this.dispatchers, index));
     const executor = pickOne(this.executors, index);
@@ -142,22 +139,19 @@
     for (const link of [...this.links.values()]) if (link.executor === executor) this.breakLink(link);
   }
 
-  /** The path between an entry and an agent carries nothing for a while; what was sent comes late, or is lost. */
+  /** Stalls the link between a dispatcher and an executor; messages are delayed or lost. */
   cut(dispatcherIndex: number, executorIndex: number, ms: number): void {
     const key = `${dispatcherIndex % DISPATCHERS}/${executorIndex % EXECUTORS}`;
     this.cutUntil.set(key, this.clock.now() + ms);
   }
 
-  /** A connection is reset. */
+  /** Resets a connection. */
   reset(dispatcherIndex: number, executorIndex: number): void {
     const link = this.links.get(`${dispatcherIndex % DISPATCHERS}/${executorIndex % EXECUTORS}`);
     if (link) this.breakLink(link);
   }
 
-  /**
-   * The operators empty a failure domain, or take it back. One entry reads it in the store; all others, and the agents,
-   * learn it on links.
-   */
+  /** Empties or restores a failure domain. One dispatcher reads the change; all other processes receive it on links. */
   changeDomain(domainIndex: number, isEmptied: boolean, dispatcherIndex: number): void {
     const domain = pickOne(DOMAINS, domainIndex);
     const written = applyWrittenChange(this.written, domain, isEmptied);
@@ -166,7 +160,7 @@
     this.runWhenAwake(gate, () => exchange.adoptEmptied(written, 'store'));
   }
 
-  /** An upstream crashes; another life takes its place. */
+  /** Crashes an upstream; its next incarnation starts and reports itself. */
   crash(index: number): void {
     const executor = pickOne(this.executors, index);
     this.upstreams.end(executor);
@@ -174,7 +168,7 @@
     this.report(executor);
   }
 
-  /** An upstream crashes, and starts again after a while; it reports itself at once, or some time later. */
+  /** Crashes an upstream and restarts it later; it reports itself at once or with its next report. */
   async restartUpstream(index: number, downMs: number, reportsAtOnce: boolean): Promise<void> {
     const executor = pickOne(this.executors, index);
     this.upstreams.end(executor);
@@ -183,7 +177,7 @@
     if (reportsAtOnce) this.report(executor);
   }
 
-  /** A connection goes silent for good; its agent gives it up after a while, which the entry does not hear. */
+  /** Makes a connection unresponsive; its executor closes it later, which the dispatcher does not notice. */
   async silenceConnection(dispatcherIndex: number, executorIndex: number, ms: number): Promise<void> {
     const link = this.links.get(`${dispatcherIndex % DISPATCHERS}/${executorIndex % EXECUTORS}`);
     if (!link) return;
@@ -192,14 +186,14 @@
     if (!link.broken) this.breakLink(link);
   }
 
-  /** An upstream crashes; another life answers at once in its place. */
+  /** Replaces an upstream by its next incarnation, which answers at once. */
   replace(index: number): void {
     const executor = pickOne(this.executors, index);
     this.upstreams.replace(executor);
     this.report(executor);
   }
 
-  /** The report of an earlier life of an upstream, held up until now, arrives. */
+  /** Delivers a delayed report of an earlier incarnation of an upstream. */
   deliverLateReport(index: number): void {
     const executor = pickOne(this.executors, index);
     const { gate, core, upstream } = executor;
@@ -207,7 +201,7 @@
     core.handleReport(this.upstreams.buildReport(executor, upstream.incarnation - 1));
   }
 
-  /** The first message of an earlier life of an agent, held up until now, arrives, and then the end of its link. */
+  /** Delivers the delayed first message of an earlier incarnation of an executor, then closes its link. */
   async deliverLateHello(dispatcherIndex: number, executorIndex: number): Promise<void> {
     const peer = pickOne(this.dispatchers, dispatcherIndex);
     const { index, incarnation } = pickOne(this.executors, executorIndex);
@@ -218,13 +212,13 @@
     if (!peer.gate.isFrozen) peer.core.handleClose(id, 'ended', peer.gate.now());
   }
 
-  /** The next orders to an upstream are lost, or carried out without an answer. */
+  /** Makes the next calls to an upstream fail, or succeed without an answer. */
   setFates(index: number, fate: 'lost' | 'unanswered', count: number): void {
     const { fake } = pickOne(this.executors, index).upstream;
     for (let i = 0; i < count; i += 1) fake.fates.push(fate);
   }
 
-  /** An upstream answers nothing for a while. */
+  /** Makes an upstream unresponsive for some time. */
   async silenceUpstream(index: number, ms: number): Promise<void> {
     const { fake } = pickOne(this.executors, index).upstream;
     fake.silent = true;
@@ -232,19 +226,19 @@
     fake.silent = false;
   }
 
-  /** Tasks of an upstream stand still, or go on. */
+  /** Stalls or resumes the tasks of an upstream. */
   hang(index: number, hangs: boolean): void {
     pickOne(this.executors, index).upstream.fake.hangs = hangs;
   }
 
-  /** The room of an upstream shrinks or grows; its report says so at once, or the next one. */
+  /** Changes the capacity of an upstream, which it reports at once or with its next report. */
   changeCapacity(index: number, tasks: number, reportsAtOnce: boolean): void {
     const executor = pickOne(this.executors, index);
     executor.upstream.capacityTasks = tasks;
     if (reportsAtOnce) this.report(executor);
   }
 
-  /** Moves time on. */
+  /** Advances time. */
   async advance(ms: number): Promise<void> {
     const until = this.clock.now() + ms;
     while (this.clock.now() < until) {
@@ -255,7 +249,7 @@
     }
   }
 
-  /** Heals everything and checks that every caller who waited has an answer. */
+  /** Ends all faults and checks that every waiting caller has an answer. */
   async settle(): Promise<void> {
     this.cutUntil.clear();
     for (const { gate } of [...this.dispatchers, ...this.executors]) gate.wake();
@@ -276,7 +270,7 @@
     }
   }
 
-  /** Ends the loops of the sessions. */
+  /** Stops all sessions. */
   close(): void {
     for (const { core } of this.executors) core.close();
   }
@@ -436,7 +430,7 @@
 
   private sendBack(link: Link, message: DispatcherMessage): void {
     if (message.type === 'start' && isKnownEmptied(link.dispatcher, link.executor))
-      throw new Error('an entry places in a domain that it knows to be emptied');
+      throw new Error('a dispatcher starts a task in a domain that it has received as emptied');
     link.back.push({ at: this.clock.now() + this.nextRandom() * 4, message });
   }
 
--- a/test/fakes/FakeCaller.ts
+++ b/test/fakes/FakeCaller.ts
@@ -1,8 +1,8 @@
-/** A caller that remembers its answer. */
+/** Test double of a caller. */
 import type { Caller } from '../../src/ports/CallerGateway.js';
 import type { JobOutcome } from '../../src/request/dispatch/submission.js';
 
-/** A caller. */
+/** Records its answers. */
 export class FakeCaller implements Caller {
   readonly answers: JobOutcome[] = [];
 
--- a/test/fakes/FakeClock.ts
+++ b/test/fakes/FakeClock.ts
@@ -1,7 +1,7 @@
-/** Monotonic time that a test moves on. */
+/** Monotonic clock that a test advances. */
 import { Clock } from '../../src/_lib/Clock.js';
 
-/** Turns of the microtask queue after which everything that was resolved has run on. */
+/** Microtask turns after which all resolved promises have run their continuations. */
 const SETTLE_TURNS = 40;
 
 interface Sleeper {
@@ -9,7 +9,7 @@
   readonly wake: () => void;
 }
 
-/** A clock that stands until it is moved. */
+/** Clock that changes only when a test advances it. */
 export class FakeClock extends Clock {
   private time = 1_000;
   private sleepers: Sleeper[] = [];
@@ -26,7 +26,7 @@
     return new Promise((wake) => this.sleepers.push({ at: this.time + ms, wake }));
   }
 
-  /** Moves time on in small steps, waking who sleeps. */
+  /** Advances time in small steps and wakes sleepers that are due. */
   async advance(ms: number, stepMs = 5): Promise<void> {
     const until = this.time + ms;
     while (this.time < until) {
@@ -35,13 +35,13 @@
     }
   }
 
-  /** Moves time at once, as for a process that stood still. */
+  /** Advances time in one step, as for a stalled process. */
   async jump(ms: number): Promise<void> {
     this.time += ms;
     await this.wakeDue();
   }
 
-  /** Lets everything that was resolved run on. */
+  /** Runs the continuations of all resolved promises. */
   async settle(): Promise<void> {
     for (let turn = 0; turn < SETTLE_TURNS; turn += 1) await Promise.resolve();
   }
--- a/test/fakes/FakeLog.ts
+++ b/test/fakes/FakeLog.ts
@@ -1,7 +1,7 @@
-/** The platform's log in memory: offsets, outages, retention, and appends whose answer is lost. */
+/** The platform's log in memory, with offsets, outages and retention. */
 import type { LogEntry, LogRecord } from '../../src/version/logRecord.js';
 
-/** A log that can be down, or forget its oldest records. */
+/** Log that can be down or drop its oldest records. */
 export class FakeLog {
   readonly entries: LogEntry[] = [];
   down = false;
@@ -18,11 +18,11 @@
   read(from: number): readonly LogEntry[] | undefined {
     if (this.down) return undefined;
     const found = this.entries.filter((entry) => entry.offset >= from);
-    // The records before the wanted one have expired: hand out all that is left.
+    // The requested record has expired, so all remaining records are returned.
     return found[0] && found[0].offset > from ? this.entries : found;
   }
 
-  /** Forgets all but the newest records. */
+  /** Drops all but the newest records. */
   expire(keep: number): void {
     this.entries.splice(0, Math.max(0, this.entries.length - keep));
   }
--- a/test/fakes/FakeTimeline.ts
+++ b/test/fakes/FakeTimeline.ts
@@ -8,7 +8,7 @@
   readonly run: () => void;
 }
 
-/** Virtual time that goes from one happening to the next. */
+/** Virtual time that advances from one event to the next. */
 export class FakeTimeline implements Timeline {
   private time = 0;
   private count = 0;
@@ -23,7 +23,7 @@
     this.queue.push({ at: this.time + Math.max(0, delayMs), order: this.count, run });
   }
 
-  /** Runs what happens until some time, or until something holds that is looked at after each. */
+  /** Runs events until a time, or until a condition holds; the condition is checked after each event. */
   runUntil(untilMs: number, holds: () => boolean = () => false): void {
     while (this.queue.length > 0 && (this.queue.peek() as TimedEvent).at <= untilMs) {
       const next = this.queue.pop() as TimedEvent;
--- a/test/fakes/FakeUpstream.ts
+++ b/test/fakes/FakeUpstream.ts
@@ -1,6 +1,6 @@
 /**
- * An upstream in memory that keeps to the platform's rules for runs, leases and fencing tokens, with switches for
- * what goes wrong: answers that are lost, orders that are carried out late, tasks that stand still or fail.
+ * Upstream in memory that follows the platform's rules for runs, leases and fencing tokens. It can lose answers, apply
+ * orders late, and stall or fail tasks.
  */
 import type { Clock } from '../../src/_lib/Clock.js';
 import { ConnectionRefusedError } from '../../src/_lib/errors.js';
@@ -17,9 +17,9 @@
   StopVerdict,
 } from '../../src/ports/UpstreamApi.js';
 
-/** Step in which a waiting renewal looks for an end, ms. */
+/** Interval at which a waiting renewal checks for an ended run, ms. */
 const POLL_MS = 5;
-/** Longest lease; longer ones are cut, ms. */
+/** Longest lease; longer ones are shortened, ms. */
 const MAX_LEASE_MS = 1_000;
 
 interface Run {
@@ -28,46 +28,46 @@
   workMs: number;
 }
 
-/** How an order fares on its way; `late`: a start gets no answer and is carried out later, with a lease from then on. */
+/** Fate of an order; `late`: a start gets no answer and is applied later, with a lease from then on. */
 export type OrderFate = 'answered' | 'lost' | 'unanswered' | 'late';
 
-/** A life of an upstream. */
+/** Incarnation of an upstream. */
 export class FakeUpstream extends UpstreamApi {
   readonly running = new Map<string, Run>();
   readonly ended: EndedRun[] = [];
-  /** Starts that took effect. */
+  /** Number of applied starts. */
   starts = 0;
-  /** Calls to stop a task. */
+  /** Number of calls to stop a task. */
   stops = 0;
-  /** Time that a task takes, ms. */
+  /** Duration of a task, ms. */
   taskMs = 100;
-  /** Whether tasks make progress. */
+  /** Whether tasks are stalled. */
   hangs = false;
   /** Whether tasks fail at once. */
   fails = false;
-  /** Whether another life answers in its place. */
+  /** Whether another incarnation answers at its address. */
   isReplaced = false;
-  /** Whether the upstream answers at all. */
+  /** Whether the upstream is unresponsive. */
   silent = false;
-  /** Job whose tasks crash the upstream as they begin; empty for none. */
+  /** Job whose tasks crash the upstream when they start; empty for none. */
   poison = '';
-  /** Whether nobody listens at its address. */
+  /** Whether connections to its address are refused. */
   refuses = false;
-  /** How the next orders fare; `answered` when empty. */
+  /** Fates of the next orders; `answered` when empty. */
   readonly fates: OrderFate[] = [];
-  /** The next so many renewals are lost. */
+  /** Number of next renewals to lose. */
   lostRenewals = 0;
-  /** Renewals that were asked for. */
+  /** Number of received renewals. */
   renewals = 0;
-  /** Start of this life; undefined where lives have ids of their own. */
+  /** Start of this incarnation; undefined if each incarnation has its own id. */
   bornAt: number | undefined;
-  /** How late a late start is carried out, ms. */
+  /** Delay of a late start, ms. */
   lateMs = 1_000;
-  /** Whether this life is over. */
+  /** Whether this incarnation has ended. */
   isOver = false;
   token = 0;
   leaseUntil = 0;
-  /** Runs that two starts were at work on at once. */
+  /** Number of starts of a task that was already running. */
   doubled = 0;
   private readonly highestRun = new Map<string, number>();
   private sequence = 0;
@@ -75,7 +75,7 @@
   constructor(
     /** Steady clock of its VM. */
     private readonly clock: Pick<Clock, 'now' | 'sleep'>,
-    /** Our clock is this far from the agent's, ms. */
+    /** Offset of its clock from the executor's, ms. */
     private readonly offsetMs = 500_000,
   ) {
     super();
@@ -95,7 +95,7 @@
     return { verdict, clockMs: this.clockMs };
   }
 
-  /** Carries out a start, as a copy that was on its way for long would be. */
+  /** Applies a start, as for a duplicate that was long in flight. */
   applyStart(order: RunStart): StartVerdict {
     this.update();
     if (order.fencingToken < this.token) return 'fenced';
@@ -169,7 +169,7 @@
     // Nothing is open.
   }
 
-  /** Begins a run that nobody here has ordered, as an earlier life of the agent would have. */
+  /** Starts a run on behalf of an earlier incarnation of the executor. */
   beginForeign(name: RunName): void {
     this.running.set(buildKey(name), { name, startedAt: this.clock.now(), workMs: 0 });
     this.highestRun.set(buildKey(name), name.run);
@@ -182,7 +182,7 @@
     if (this.running.get(key)?.name.run === name.run) this.end(name, 'stopped');
   }
 
-  /** Lets tasks end and leases run out up to now. */
+  /** Ends tasks and expires leases that are due. */
   applyTime(): void {
     this.update();
   }
--- a/test/fakes/FakeWorld.ts
+++ b/test/fakes/FakeWorld.ts
@@ -1,6 +1,6 @@
 /**
- * Entries, agents, their links, upstreams and the log on one virtual clock. Links drop, delay, repeat and
- * reorder; processes are killed, paused and replaced; every promise is checked as it happens.
+ * Simulation of entries, agents, links, upstreams and the log on one virtual clock. Links drop, delay, repeat and reorder
+ * messages; processes are killed, paused and replaced; the invariants are checked at each event.
  */
 import TinyQueue from 'tinyqueue';
 
@@ -20,14 +20,14 @@
 import type { EventConfig } from '../../src/version/configState.js';
 import { FakeLog } from './FakeLog.js';
 
-/** Rates of link faults, as shares of the messages. */
+/** Rates of link faults, as shares of all messages. */
 export interface LinkFaults {
   readonly drop: number;
   readonly repeat: number;
   readonly late: number;
 }
 
-/** Sizes and faults of a world. */
+/** Sizes and faults of a simulation. */
 export interface WorldOptions {
   readonly seed: number;
   readonly entries: number;
@@ -51,7 +51,7 @@
   readonly run: () => void;
 }
 
-/** What a caller sent and got. */
+/** A caller's submission and its answer. */
 export interface Submission {
   readonly job: string;
   readonly entry: string;
@@ -65,12 +65,12 @@
 const LOG_MS = 100;
 const SLOTS = 2;
 const TIGHT_DEADLINE_MS = 600;
-/** A link to a process that is paused for longer is given up, as keepalive pings would. */
+/** A link to a process that is paused for longer is closed, as by keepalive pings. */
 const KEEPALIVE_MS = 3_000;
-/** Promise of the brief: an upstream that is leaving receives no new work after a few seconds. */
+/** Time after which a leaving upstream receives no new work. */
 const LEAVING_BOUND_MS = 3_000;
 
-/** The event that every world starts with. */
+/** Event that every simulation starts with. */
 export const OPENING: EventConfig = {
   name: 'opening',
   startAt: 0,
@@ -90,12 +90,12 @@
   version: 0,
 };
 
-/** A broken promise. */
+/** Thrown when an invariant is violated. */
 export class PromiseBroken extends Error {
   override readonly name = 'PromiseBroken';
 }
 
-/** The virtual world. */
+/** Simulation of entries, agents and the log. */
 export class FakeWorld {
   now = START;
   readonly log = new FakeLog();
@@ -125,7 +125,7 @@
     this.advance(1_500);
   }
 
-  /** Runs the clock. */
+  /** Advances the clock and runs all events that are due. */
   advance(ms: number): void {
     const until = this.now + ms;
     for (;;) {
@@ -138,7 +138,7 @@
     this.now = until;
   }
 
-  /** Sends a job, or sends it again, through one entry. */
+  /** Submits a job, possibly again, to one entry. */
   submit(number: number, entry: number, changed = false): void {
     const process = this.processes.get(`entry-${entry}`);
     if (!process?.alive || this.now < process.pausedUntil) return;
@@ -155,14 +155,14 @@
     const submission: Submission = { job, entry: process.id, at: this.now, answer: undefined };
     const caller = String(this.submissions.push(submission) - 1);
     const createdAt = this.created.get(job) as number;
-    // Some jobs have so little time that a loaded entry refuses what an idle one took.
+    // Some deadlines are so tight that a loaded entry refuses a job that an idle one accepted.
     const deadlineMs = number % 4 === 1 ? TIGHT_DEADLINE_MS : undefined;
     const request = { job, createdAt, event: 'opening', deadlineMs, tasks, caller: '', team: '' };
     node.submit(request, caller, this.now);
     this.applyEffects(process);
   }
 
-  /** Ends a process; nothing of it is kept. */
+  /** Kills a process and drops its state. */
   kill(id: string): void {
     const process = this.processes.get(id);
     if (!process?.alive) return;
@@ -174,19 +174,19 @@
     }
   }
 
-  /** Starts a killed process anew, as another incarnation at the same address. */
+  /** Restarts a killed process as its next incarnation at the same address. */
   restart(id: string): void {
     const process = this.processes.get(id);
     if (process && !process.alive) this.boot(id, process.domain, process.incarnation + 1);
   }
 
-  /** Stops a process for a while without its knowing. */
+  /** Pauses a process without notice. */
   pause(id: string, ms: number): void {
     const process = this.processes.get(id);
     if (process?.alive) process.pausedUntil = Math.max(process.pausedUntil, this.now + ms);
   }
 
-  /** Begins a planned stop of an agent. */
+  /** Starts a planned stop of an agent. */
   leave(id: string): void {
     const process = this.processes.get(id);
     if (!process?.alive || !(process.node instanceof AgentNode) || process.leftAt > 0) return;
@@ -195,7 +195,7 @@
     this.applyEffects(process);
   }
 
-  /** Makes an agent's upstream refuse connections for a while. */
+  /** Makes an agent's upstream refuse connections for some time. */
   breakUpstream(id: string, ms: number): void {
     const process = this.processes.get(id);
     if (!process?.alive || !(process.node instanceof AgentNode)) return;
@@ -213,7 +213,7 @@
     this.cut.add(domain);
   }
 
-  /** Mends every link and the log, and starts what is dead. */
+  /** Ends all faults and restarts dead processes. */
   heal(): void {
     this.cut.clear();
     this.log.down = false;
@@ -223,7 +223,7 @@
     }
   }
 
-  /** Heals the world, lets everything end, and checks that every caller of a live entry was answered. */
+  /** Ends all faults, runs to the end, and checks that every caller of a live entry was answered. */
   settle(): void {
     this.heal();
     this.advance(40_000);
@@ -257,8 +257,8 @@
       failureDomain: `d${domain}`,
       snapshotEvery: 10,
     };
-    // Links of the fake lose single messages, which real ones do not: ask again sooner. Announcements come in
-    // many parts, as they do at a fleet's size.
+    // Simulated links lose single messages, unlike real ones, so entries ask again sooner. Small parts make
+    // announcements span several messages, as in a large fleet.
     const limits = { ...DEFAULT_ENTRY_LIMITS, askAgainMs: 2_000, claimsPerPart: 2 };
     return new EntryNode(peer, limits, membership, {
       policy,
@@ -314,7 +314,7 @@
     process.node.followLog(JSON.parse(JSON.stringify(entries)), this.now);
   }
 
-  /** Opens links to every live process that can be reached, and notices those that are gone. */
+  /** Opens links to every reachable live process and closes those that are gone. */
   private keepLinks(process: Process): void {
     for (const other of this.processes.values()) {
       if (other === process) continue;
@@ -362,7 +362,7 @@
     }
   }
 
-  /** Carries out what a process wants, and checks each start. */
+  /** Applies a process's effects and checks each start. */
   private applyEffects(process: Process): void {
     const effects =
       process.node instanceof EntryNode ? process.node.takeEffects(this.now) : process.node.takeEffects();
@@ -377,7 +377,7 @@
   private append(process: Process, record: Parameters<FakeLog['append']>[0]): void {
     const copy = JSON.parse(JSON.stringify(record));
     if (this.cut.has(process.domain)) return;
-    // An append may be lost, or take effect late, or twice because its answer was lost.
+    // An append may be lost, applied late, or applied twice because its answer was lost.
     if (this.nextRandom() < 0.1) return;
     this.schedule(5 + this.nextRandom() * 50, () => this.log.append(copy, this.now));
     if (this.nextRandom() < 0.2) this.schedule(300, () => this.log.append(copy, this.now));
@@ -405,7 +405,7 @@
     }
   }
 
-  /** Delivers to a process over a link session, late sometimes, and after its pause. */
+  /** Delivers to a process over a link session, sometimes late, and after its pause. */
   private transmit(
     from: Process,
     to: Process,
@@ -457,7 +457,8 @@
       throw new PromiseBroken(`${submission.job} ran and was refused`);
     if (answer.outcome !== 'complete') return;
     const count = 1 + (Number(submission.job.slice(4)) % 7);
-    if (answer.answers.length !== count) throw new PromiseBroken(`${submission.job} was answered in part`);
+    if (answer.answers.length !== count)
+      throw new PromiseBroken(`${submission.job} was answered only partially`);
     answer.answers.forEach(({ body }, index) => {
       if (!body.startsWith(`"${submission.job}/${index}`))
         throw new PromiseBroken(`${submission.job} got ${body}`);
--- a/test/fakes/FaultSoak.ts
+++ b/test/fakes/FaultSoak.ts
@@ -1,7 +1,6 @@
 /**
- * Real dispatchers and executors as processes, with faults from outside in series that overlap: signals, restarts,
- * links that are delayed, held up in one or both directions or reset by proxies, a store and runners that misbehave.
- * The promises are checked from what callers and runners see.
+ * Soak test of real dispatcher and executor processes under overlapping faults: signals, restarts, delayed, stalled or
+ * reset links, and a faulty store and runners. The invariants are checked from what callers and runners observe.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -10,42 +9,42 @@
 import type { CallerAnswer } from './PlatformBench.js';
 import { assignDomains, drawFault, SOAK_DOMAINS } from './soakFaults.js';
 
-/** Time that a caller keeps before it submits a job again elsewhere, ms. */
+/** Delay before a caller submits a job again elsewhere, ms. */
 const RESUBMIT_DELAY_MS = 1_300;
 const CALLER_TIMEOUT_MS = 2_500;
-/** Times that a caller submits a job at most. */
+/** Most submissions of a job. */
 const SUBMISSIONS = 3;
-/** Between two jobs, and two faults, at the most, ms. */
+/** Longest pause between two jobs, and between two faults, ms. */
 const JOB_GAP_MS = 60;
 const FAULT_GAP_MS = 500;
 const TARGET_LATENCY_MS = 1_500;
-/** Time after an evacuation from which on nothing may be started there, ms; from the users' rules. */
+/** Time after an evacuation from which no task may start in the domain, ms. */
 const EVACUATE_MS = 5_000;
-/** Jobs that are then submitted to each entry. */
+/** Jobs that are submitted to each dispatcher after that. */
 const JOBS_AFTER = 4;
 const MAX_TASKS = 6;
 const MAX_TASK_MS = 400;
 
-/** Sizes of a run. */
+/** Parameters of a run. */
 export interface SoakOptions {
   readonly seed: number;
   readonly entries: number;
   readonly agents: number;
-  /** Time in which faults are drawn, ms. */
+  /** Time during which faults are injected, ms. */
   readonly faultMs: number;
-  /** Kinds of fault to draw from. */
+  /** Kinds of faults to draw from. */
   readonly kinds: readonly string[];
-  /** How long everything has to come back once nothing is disturbed any more, ms. */
+  /** Longest time to recover after the last fault, ms. */
   readonly recoveryMs: number;
 }
 
-/** What a run has seen. */
+/** Results of a run. */
 export interface SoakReport {
   readonly seed: number;
   readonly jobs: number;
   readonly completed: number;
   readonly faults: readonly string[];
-  /** Promises that were broken; empty for a good run. */
+  /** Violated invariants; empty if the run passed. */
   readonly broken: readonly string[];
 }
 
@@ -54,7 +53,7 @@
   readonly answers: CallerAnswer[];
 }
 
-/** One run. */
+/** Runs one soak test. */
 export class FaultSoak {
   readonly bench: PlatformBench;
   private readonly nextRandom: () => number;
@@ -73,7 +72,7 @@
     return this.options.kinds.includes('evacuate');
   }
 
-  /** Plays the run; ends only processes that it started. */
+  /** Runs the test; stops only processes that it started. */
   async run(): Promise<SoakReport> {
     try {
       await this.bench.start();
@@ -92,7 +91,7 @@
     }
     const { doubled, beyondCapacity } = this.bench;
     for (const task of doubled) this.broken.push(`${task} ran twice at once`);
-    for (const task of beyondCapacity) this.broken.push(`${task} was started beyond the room`);
+    for (const task of beyondCapacity) this.broken.push(`${task} was started beyond the capacity`);
     return this.report();
   }
 
@@ -105,7 +104,7 @@
     }
   }
 
-  /** Submits a job, and again elsewhere after no answer, 502 or 504, as callers of the platform do. */
+  /** Submits a job, and again elsewhere after no answer, 502 or 504. */
   private async submitUntilAnswered(job: SoakJob): Promise<void> {
     const tasks = 1 + Math.floor(this.nextRandom() * MAX_TASKS);
     const taskMs = 20 + Math.floor(this.nextRandom() * MAX_TASK_MS);
@@ -132,7 +131,7 @@
     await Promise.all(healed);
   }
 
-  /** Once nothing is disturbed any more, every entry serves, and nothing runs that nobody waits for. */
+  /** Checks that after the last fault every dispatcher serves jobs and no abandoned task runs. */
   private async checkRecovery(): Promise<void> {
     const { entries: dispatchers, recoveryMs } = this.options;
     const until = performance.now() + recoveryMs;
@@ -145,10 +144,10 @@
       }
       if (!served) this.broken.push(`entry-${number} does not serve ${recoveryMs} ms after the last fault`);
     }
-    await this.bench.waitUntilIdle().catch(() => this.broken.push('tasks run on that nobody waits for'));
+    await this.bench.waitUntilIdle().catch(() => this.broken.push('tasks run without a waiting caller'));
   }
 
-  /** With nothing disturbed, an emptied failure domain gets nothing, and all of it is served elsewhere. */
+  /** Checks that an emptied failure domain gets no tasks and all jobs are served elsewhere. */
   private async checkEvacuation(): Promise<void> {
     const { entries: dispatchers, agents: executors } = this.options;
     const [domain] = SOAK_DOMAINS;
--- a/test/fakes/LoopbackProxy.ts
+++ b/test/fakes/LoopbackProxy.ts
@@ -1,20 +1,20 @@
-/** A TCP proxy on loopback that delays, slows down, holds up, resets or silences what passes. */
+/** TCP proxy on loopback that can delay, throttle, stall, reset or silence connections. */
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 import { performance } from 'node:perf_hooks';
 
-/** What happens to bytes of one direction. `hold`: they wait until the direction passes again, as behind a cut. */
+/** Mode of one direction. `hold`: bytes wait until the mode is `pass` again. */
 export type DirectionMode = 'pass' | 'hold';
 
-/** A direction: from who dials to who listens, or back. */
+/** Direction: `forth` from client to server, `back` from server to client. */
 export type Direction = 'forth' | 'back';
 
-/** Runs what passes one direction of a connection in order, each at its time. */
+/** Delays the writes of one direction of a connection and keeps their order. */
 class DelayLine {
   private readonly waiting: { readonly at: number; readonly run: () => void }[] = [];
   private timer: NodeJS.Timeout | undefined;
 
-  /** @param takesMs - time that it takes itself, behind what is before it */
+  /** @param takesMs - transmission time, added after the previous item */
   add(delayMs: number, run: () => void, takesMs = 0): void {
     if (delayMs === 0 && takesMs === 0 && this.waiting.length === 0) return run();
     const last = this.waiting.at(-1)?.at ?? 0;
@@ -35,13 +35,13 @@
   }
 }
 
-/** Parts in which bytes pass a slow proxy, ms. */
+/** Transmission time of one slice of bytes on a throttled proxy, ms. */
 const SLICE_MS = 10;
 
 interface Pair {
   readonly near: Socket;
   readonly far: Socket;
-  /** Carries nothing any more, not even its end. */
+  /** Whether it carries nothing any more, not even a close. */
   isSilent: boolean;
 }
 
@@ -56,7 +56,7 @@
   /**
    * @param host - address to listen at
    * @param port - port to listen at, and that of the target
-   * @param targetHost - address of the listener behind
+   * @param targetHost - address of the target
    */
   constructor(
     private readonly host: string,
@@ -65,7 +65,7 @@
     private readonly targetPort = port,
   ) {}
 
-  /** Starts to listen and returns the port. */
+  /** Starts listening and returns the port. */
   start(): Promise<number> {
     const server = createServer((near) => this.accept(near));
     this.server = server;
@@ -75,7 +75,7 @@
     });
   }
 
-  /** Holds up a direction, or lets it pass again. */
+  /** Stalls or resumes a direction. */
   setMode(direction: Direction, mode: DirectionMode): void {
     this.modes[direction] = mode;
     for (const { near, far, isSilent } of this.pairs) {
@@ -91,12 +91,12 @@
     this.delayMs = ms;
   }
 
-  /** Has each direction of a connection carry so many Mbit/s at most. */
+  /** Limits each direction of a connection to a bandwidth, Mbit/s. */
   setRate(mbps: number): void {
     this.bytesPerMs = (mbps * 1_000) / 8;
   }
 
-  /** Resets all connections; what was held up on them is lost. */
+  /** Resets all connections and drops their pending bytes. */
   resetAll(): void {
     for (const { near, far } of [...this.pairs]) {
       near.resetAndDestroy();
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Has all open connections carry nothing any more, without a reset; new ones work. */
+  /** Silences all open connections without a reset; new ones work. */
   silenceConnections(): void {
     for (const pair of this.pairs) {
       pair.isSilent = true;
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Ends everything. */
+  /** Stops listening and closes all connections. */
   stop(): void {
     this.server?.close();
     for (const { near, far } of this.pairs) {
--- a/test/fakes/ModelUpstream.ts
+++ b/test/fakes/ModelUpstream.ts
@@ -1,4 +1,4 @@
-/** An upstream that carries out what it is told and answers at once, for models with thousands of tasks a second. */
+/** Minimal upstream without faults, for models with thousands of tasks per second. */
 import { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type {
   EndedRun,
@@ -12,7 +12,7 @@
 } from '../../src/ports/UpstreamApi.js';
 import type { VirtualTime } from './VirtualTime.js';
 
-/** Time until an answer, ms. */
+/** Duration of a call, ms. */
 const CALL_MS = 0.5;
 
 interface ModelRun {
@@ -21,7 +21,7 @@
   readonly endsAt: number;
 }
 
-/** One life of an upstream that never fails. */
+/** Incarnation of an upstream that never fails. */
 export class ModelUpstream extends UpstreamApi {
   private readonly running = new Map<string, ModelRun>();
   private ended: EndedRun[] = [];
@@ -29,8 +29,8 @@
   private wake: () => void = () => undefined;
 
   /**
-   * @param time - of the model
-   * @param findWork - time that a task takes here, ms
+   * @param time - clock of the model
+   * @param findWork - returns the duration of a task, ms
    */
   constructor(
     private readonly time: VirtualTime,
--- a/test/fakes/PlatformBench.ts
+++ b/test/fakes/PlatformBench.ts
@@ -1,4 +1,4 @@
-/** Dispatchers and executors as separate processes on loopback, with stand-ins for store, runners and callers. */
+/** Dispatcher and executor processes on loopback, with stand-ins for store, runners and callers. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
@@ -22,11 +22,11 @@
 const SERVICE = 'service';
 const HOST = 'a.example';
 const TARGET_LATENCY_MS = 60;
-/** Thousandths of a core that a task takes, and tasks that fit a runner. */
+/** Thousandths of a core that a task needs, and tasks that fit a runner. */
 const TASK_CPU = 1_000;
 const RUNNER_TASKS = 4;
 
-/** Answer to a caller; status 0 when the connection broke. */
+/** Answer to a caller; status 0 if the connection broke. */
 export interface CallerAnswer {
   readonly status: number;
   readonly body: string;
@@ -38,33 +38,33 @@
   output: string;
 }
 
-/** A small deployment. */
+/** Small deployment of real processes. */
 export class PlatformBench {
   readonly store = new StoreStandin();
   readonly runners: RunnerStandin[] = [];
-  /** Runs of a task that are at work now. */
+  /** Number of active runs of each task. */
   readonly atWork = new Map<string, number>();
-  /** Starts of each task. */
+  /** Number of starts of each task. */
   readonly starts = new Map<string, number>();
   /** Tasks that ran twice at once. */
   readonly doubled: string[] = [];
-  /** Tasks that were started beyond their runner's room. */
+  /** Tasks that were started beyond their runner's capacity. */
   readonly beyondCapacity: string[] = [];
   /** Version of the newest configuration. */
   version = 1;
-  /** Most tasks that were at work at one runner at once. */
+  /** Most tasks that ran at one runner at the same time. */
   maxRunning = 0;
-  /** Settings of daemons that are not those of every test; to be set before the start. */
+  /** Additional settings of the daemons; to be set before the start. */
   extraSettings: Readonly<Record<string, unknown>> = {};
-  /** Failure domains of daemons that are not in the one of all others; to be set before the start. */
+  /** Failure domains of daemons outside the default one; to be set before the start. */
   domains: Readonly<Record<string, string>> = {};
-  /** Starts at each runner. */
+  /** Number of starts at each runner. */
   readonly startsByRunner = new Map<string, number>();
-  /** Daemons that are being started again. */
+  /** Daemons that are being restarted. */
   readonly restarting = new Set<string>();
-  /** Tasks at work by runner. */
+  /** Number of running tasks of each runner. */
   private readonly loads = new Map<string, number>();
-  /** Proxies in front of links, runners and the store, by what is behind them; none unless they are asked for. */
+  /** Proxies of links, runners and the store by the id of their target; empty unless `isProxied`. */
   readonly proxies = new Map<string, LoopbackProxy>();
   private readonly daemons = new Map<string, Daemon>();
   private directory = '';
@@ -74,13 +74,13 @@
   constructor(
     private readonly dispatchers: number,
     private readonly executors: number,
-    /** Time that queues allow beyond the work, ms. */
+    /** Target latency of the queues, ms. */
     private readonly targetLatencyMs = TARGET_LATENCY_MS,
-    /** Whether links to entries, orders to runners and calls to the store pass proxies. */
+    /** Whether links to dispatchers, orders to runners and calls to the store pass proxies. */
     private readonly isProxied = false,
   ) {}
 
-  /** Starts everything and waits until the entries take jobs. */
+  /** Starts all processes and waits until the dispatchers accept jobs. */
   async start(): Promise<void> {
     this.directory = await mkdtemp(path.join(tmpdir(), 'marblehall-'));
     this.storeAddress = (await this.store.start('127.0.0.1', 0)).slice('http://'.length);
@@ -101,7 +101,7 @@
       await this.waitUntilReady(`entry-${number}`);
   }
 
-  /** Ends everything that was started here. */
+  /** Stops all processes that it started. */
   async stop(): Promise<void> {
     for (const { child } of this.daemons.values()) child.kill('SIGKILL');
     for (const runner of this.runners) await runner.stop();
@@ -126,7 +126,7 @@
     this.store.putConfiguration({ version: this.version, routes, limits });
   }
 
-  /** Starts a daemon, or starts it again. */
+  /** Starts or restarts a daemon. */
   async startDaemon(id: string): Promise<void> {
     const ip = findIp(id);
     const { link, front, ready, control } = this.ports;
@@ -159,7 +159,7 @@
     this.daemons.set(id, daemon);
   }
 
-  /** Has all open connections that pass proxies carry nothing any more; new ones work. */
+  /** Silences all open connections that pass proxies; new ones work. */
   silenceConnections(): void {
     for (const proxy of this.proxies.values()) proxy.silenceConnections();
   }
@@ -169,25 +169,25 @@
     this.findDaemon(id).child.kill(name);
   }
 
-  /** Waits for a daemon's end and returns its exit code. */
+  /** Waits until a daemon exits and returns its exit code. */
   async waitForExit(id: string): Promise<number | null> {
     const { child } = this.findDaemon(id);
     await this.waitFor(() => child.exitCode !== null || child.signalCode !== null, `the end of ${id}`);
     return child.exitCode;
   }
 
-  /** Whether a daemon runs. */
+  /** Checks whether a daemon runs. */
   isRunning(id: string): boolean {
     const { child } = this.findDaemon(id);
     return child.exitCode === null && child.signalCode === null;
   }
 
-  /** What a daemon has logged. */
+  /** Returns a daemon's output. */
   readOutput(id: string): string {
     return this.findDaemon(id).output;
   }
 
-  /** Writes what every daemon has logged, and how it ended, into a directory of its own, and returns that. */
+  /** Writes every daemon's output and exit status to a new directory and returns its path. */
   async saveLogs(): Promise<string> {
     const directory = await mkdtemp(path.join(tmpdir(), 'marblehall-logs-'));
     for (const [id, { child, output }] of this.daemons) {
@@ -197,7 +197,7 @@
     return directory;
   }
 
-  /** Waits until an entry calls itself ready. */
+  /** Waits until a dispatcher reports itself ready. */
   async waitUntilReady(id: string): Promise<void> {
     const { ready } = this.ports;
     await this.waitFor(
@@ -206,7 +206,7 @@
     );
   }
 
-  /** Submits a job of tasks that work for some ms each. The caller leaves when `signal` says so. */
+  /** Submits a job of tasks that work for some ms each. The caller leaves when `signal` aborts. */
   submit(
     id: string,
     job: string,
@@ -220,7 +220,7 @@
     return this.post(id, `/q/${job}`, body, patienceMs, signal);
   }
 
-  /** Sends a body to an entry. */
+  /** Sends a POST request to a dispatcher. */
   post(
     id: string,
     url: string,
@@ -232,12 +232,12 @@
     return send(findIp(id), this.ports.front, 'POST', url, JSON.stringify(body), headers, signal);
   }
 
-  /** Asks an entry. */
+  /** Sends a GET request to a dispatcher. */
   get(id: string, url: string): Promise<CallerAnswer> {
     return send(findIp(id), this.ports.front, 'GET', url, '', { host: HOST });
   }
 
-  /** Sends a heartbeat to an agent, as another writer would; returns the status of the answer. */
+  /** Sends a heartbeat to an executor as a foreign writer; returns the status of the answer. */
   async sendHeartbeat(executor: string, id: string, body: object): Promise<number> {
     const headers = { 'content-type': 'application/json' };
     const path = `${BEAT_PREFIX}${id}`;
@@ -250,7 +250,7 @@
     return send(findIp(id), this.ports.front, 'DELETE', `/q/${job}`, '', { host: HOST });
   }
 
-  /** Waits until no task is at work. */
+  /** Waits until no task runs. */
   async waitUntilIdle(): Promise<void> {
     await this.waitFor(
       () => [...this.atWork.values()].every((count) => count === 0),
@@ -258,20 +258,20 @@
     );
   }
 
-  /** Opens a caller's connection and writes raw bytes on it. */
+  /** Opens a caller's connection and writes raw text to it. */
   openCaller(id: string, text: string): Socket {
     const socket = connect(this.ports.front, findIp(id));
     socket.write(text);
     return socket;
   }
 
-  /** Waits until something holds; fails after a time that only a broken program takes. */
+  /** Waits until a condition holds; throws after `WAIT_MS`. */
   async waitFor(holds: () => boolean | Promise<boolean>, what = 'it'): Promise<void> {
     for (let waited = 0; waited < WAIT_MS; waited += POLL_MS) {
       if (await holds()) return;
       await sleep(POLL_MS);
     }
-    throw new Error(`${what} does not come to hold`);
+    throw new Error(`${what} did not hold in time`);
   }
 
   private async startRunner(number: number): Promise<void> {
@@ -303,7 +303,7 @@
     await runner.start(ip, 0);
   }
 
-  /** Puts a proxy in front of an address, and returns where it listens. */
+  /** Starts a proxy in front of an address and returns the address of the proxy. */
   private async addProxy(id: string, target: string, port: number): Promise<string> {
     const { host, port: targetPort } = splitAddress(target);
     const proxy = new LoopbackProxy(findProxyIp(id), port, host, targetPort);
@@ -313,21 +313,21 @@
 
   private findDaemon(id: string): Daemon {
     const daemon = this.daemons.get(id);
-    if (!daemon) throw new Error(`there is no ${id}`);
+    if (!daemon) throw new Error(`daemon ${id} does not exist`);
     return daemon;
   }
 }
 
-/** Keeps the addresses of benches apart that run beside each other in processes of their own. */
+/** Separates the loopback addresses of concurrent test processes. */
 const NET = process.pid % 250;
 
-/** Each daemon has a loopback address of its own, as all share their ports. */
+/** Returns the loopback address of a daemon; all daemons use the same ports. */
 function findIp(id: string): string {
   const [role, number] = id.split('-');
   return `127.${role === 'entry' ? 10 : 20}.${NET}.${number}`;
 }
 
-/** Proxies have loopback addresses of their own. */
+/** Returns the loopback address of the proxy of a daemon, a runner or the store. */
 function findProxyIp(id: string): string {
   const [role = '', number = '1'] = id.split('-');
   return `127.${PROXY_NETS[role] ?? 33}.${NET}.${number}`;
--- a/test/fakes/ProcessGate.ts
+++ b/test/fakes/ProcessGate.ts
@@ -1,7 +1,4 @@
-/**
- * A process of the randomised runs that can stand still, or whose VM can be suspended: its timers, orders and answers
- * wait meanwhile.
- */
+/** Process of the simulation that can be frozen, or whose VM can be suspended. */
 import { BootClock } from '../../src/_lib/BootClock.js';
 import { Clock } from '../../src/_lib/Clock.js';
 import { UpstreamApi } from '../../src/ports/UpstreamApi.js';
@@ -17,25 +14,25 @@
 import type { FakeClock } from './FakeClock.js';
 import { SuspendedTime } from './SuspendedTime.js';
 
-/** Step in which a frozen process looks whether it runs again, ms. */
+/** Interval at which a frozen process checks whether it may resume, ms. */
 const STEP_MS = 5;
 
-/** Time of day when the runs begin, Unix ms. */
+/** Time of day at the start of a run, Unix ms. */
 const FIRST_TIME_OF_DAY_MS = 1_700_000_000_000;
-/** What a VM's boot clock counts in, ms. */
+/** Resolution of a VM's boot clock, ms. */
 const BOOT_STEP_MS = 10;
 
-/** Whether a process runs: its timers, answers and messages wait while it stands still. */
+/** Clock of a process that delays its timers and answers while the process is frozen. */
 export class ProcessGate extends Clock {
   frozenUntil = 0;
   dead = false;
-  /** How far the time of day has been set since the start, ms. */
+  /** Sum of the steps of the time of day, ms. */
   private steppedMs = 0;
   private readonly clock: BootClock;
 
   /**
-   * @param base - of the run
-   * @param suspended - of the VM; a process that starts while it is suspended runs once it has woken
+   * @param base - clock of the run
+   * @param suspended - suspended time of the VM; a process that starts during a suspension runs after it
    */
   constructor(
     private readonly base: FakeClock,
@@ -77,31 +74,31 @@
     }
   }
 
-  /** The VM is suspended from now on for so long. */
+  /** Suspends the VM from now on. */
   suspend(ms: number): void {
     this.suspended.suspend(ms);
     this.frozenUntil = this.suspended.until;
   }
 
-  /** The time of day is set. */
+  /** Steps the time of day. */
   stepTimeOfDay(ms: number): void {
     this.steppedMs += ms;
   }
 
-  /** The process runs again before its time. */
+  /** Resumes the process early. */
   wake(): void {
     this.frozenUntil = 0;
     this.suspended.wake();
   }
 
-  /** Waits until the process runs; never returns in a dead one. */
+  /** Waits until the process runs; never resolves for a dead process. */
   async pass(): Promise<void> {
     if (this.dead) await new Promise<never>(() => undefined);
     while (this.isFrozen) await this.base.sleep(STEP_MS);
   }
 }
 
-/** Orders leave, and answers reach, a process only while it runs. */
+/** Upstream client that delays answers while its process is frozen. */
 export class GatedUpstreamApi extends UpstreamApi {
   constructor(
     private readonly fake: UpstreamApi,
--- a/test/fakes/ScarceCapacityModel.ts
+++ b/test/fakes/ScarceCapacityModel.ts
@@ -1,9 +1,8 @@
 /**
- * One dispatcher whose callers ask for more than its agents have room for, on virtual time. The product's own
- * dispatcher runs unchanged; agents are its own, start what they get and tell their room with each end.
+ * Model of one dispatcher under more load than its executors have capacity for, on virtual time. The dispatcher is
+ * production code; the simulated executors accept every start and report their capacity when a task ends.
  *
- * The patterns are a burst of large jobs, one of urgent jobs, both at once, estimates that are off, slow upstreams, and
- * the loss and return of agents.
+ * Loads are bursts of large or urgent jobs or both, wrong estimates, slow upstreams, and executors that fail and return.
  */
 import { createRandom } from '../../src/_lib/createRandom.js';
 import type {
@@ -30,12 +29,12 @@
 const TARGET_LATENCY_MS = 61;
 /** Time that callers wait beyond the work, ms. */
 const WAIT_MS = 1_500;
-/** An answer later than so many objectives is of no use. */
+/** Answers later than this multiple of the objective are useless. */
 const USELESS_FACTOR = 3;
-/** Widths and works of jobs differ by this much from the mean (standard deviation of the logarithm). */
+/** Spread of job widths and durations (standard deviation of the logarithm). */
 const SPREAD = 0.4;
 
-/** A queue: the calm rates ask for 0.7 of the room in all. */
+/** Queue; at normal rates all queues together need 0.7 of the capacity. */
 interface ModelQueue {
   readonly name: string;
   readonly priority: number;
@@ -50,7 +49,7 @@
   { name: 'large', priority: 2, perSecond: 2.59, width: 4, workMs: 1_286 },
 ];
 
-/** More jobs of a queue for a time. */
+/** Increased rate of a queue for some time. */
 export interface ModelBurst {
   readonly queue: string;
   readonly fromMs: number;
@@ -58,38 +57,38 @@
   readonly factor: number;
 }
 
-/** Agents that are cut off for a time. */
+/** Outage of executors. */
 export interface ModelOutage {
   readonly executors: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** What is played. */
+/** Parameters of a run. */
 export interface ScarceCapacityRun {
   readonly seed: number;
   readonly lengthMs: number;
   readonly bursts: readonly ModelBurst[];
-  /** How far estimates are off, as a share. */
+  /** Largest relative error of estimates. */
   readonly estimateOff?: number;
-  /** Agents, of six, whose upstreams take 1.5 times as long. */
+  /** Number of executors whose upstreams take 1.5 times as long. */
   readonly slowExecutors?: number;
   readonly outage?: ModelOutage;
-  /** Agents whose failure domain the operators empty, from a time on. */
+  /** Executors whose failure domain is emptied, and when. */
   readonly emptied?: { readonly executors: number; readonly fromMs: number };
-  /** Rates of all queues against the calm ones. */
+  /** Factor of the rates of all queues. */
   readonly load?: number;
   readonly createOrder?: () => TaskOrder;
   readonly createAdmission?: () => Admission;
 }
 
-/** What became of a job. */
+/** Job and its outcome. */
 export interface ScarceCapacityJob {
   readonly queue: string;
   readonly arrivedAt: number;
-  /** Work by its true times, core-ms. */
+  /** Actual work, core-ms. */
   readonly work: number;
-  /** Time that its longest task works, ms. */
+  /** Duration of its longest task, ms. */
   readonly longestTaskMs: number;
   readonly objectiveMs: number;
   readonly tasks: number;
@@ -97,10 +96,10 @@
   answeredAt: number;
 }
 
-/** How an answer counts for its caller. */
+/** Value of an answer to its caller. */
 export type ModelVerdict = 'in-time' | 'late' | 'useless' | 'refused' | 'interrupted';
 
-/** Judges a job's answer. */
+/** Evaluates a job's answer. */
 export function evaluateJob({
   outcome,
   answeredAt,
@@ -131,10 +130,10 @@
   nextPingAt: number;
 }
 
-/** A play. */
+/** Runs one scenario. */
 export class ScarceCapacityModel {
   readonly jobs: ScarceCapacityJob[] = [];
-  /** Moments at which an agent had room for a task that waited after placing, ms. */
+  /** Times at which an executor had free capacity while a task waited after placing, ms. */
   readonly idleAt: number[] = [];
   readonly dispatcher: Dispatcher;
   private readonly executors: ModelExecutor[] = [];
@@ -172,7 +171,7 @@
     for (const queue of QUEUES) this.nextAt.push(this.drawGap(queue));
   }
 
-  /** Plays to the end, and until all jobs have their answer. */
+  /** Runs to the end, and until all jobs are answered. */
   run(): this {
     for (this.now = 1; this.now < this.scenario.lengthMs + 4_000; this.now += 1) this.step();
     return this;
@@ -196,7 +195,7 @@
     this.recordIdleCapacity();
   }
 
-  /** Starts arrive at once here, so that what the agents have left after placing is what the dispatcher left. */
+  /** Records free capacity that the dispatcher left unused; starts arrive without delay. */
   private recordIdleCapacity(): void {
     if (this.dispatcher.waitingTasks === 0) return;
     const hasRoom = this.executors.some(
@@ -213,7 +212,7 @@
     return (-Math.log(1 - this.random()) * 1_000) / (perSecond * factor);
   }
 
-  /** A factor with mean 1 and the given standard deviation of its logarithm. */
+  /** Draws a factor with mean 1 and the given standard deviation of its logarithm. */
   private drawFactor(spread: number): number {
     const normal = Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
     return Math.exp(spread * normal - spread ** 2 / 2);
@@ -339,15 +338,15 @@
   }
 }
 
-/** Calm for 4 s, then bursts. */
+/** Bursts after 4 s at the normal rate. */
 const LARGE: ModelBurst = { queue: 'large', fromMs: 4_000, untilMs: 10_000, factor: 2.3 };
 const URGENT: ModelBurst = { queue: 'urgent', fromMs: 4_000, untilMs: 8_000, factor: 1.7 };
 const BOTH = [LARGE, { ...URGENT, fromMs: 5_000, untilMs: 9_000 }];
 
-/** A queue whose callers ask for four times what they usually do. */
+/** Burst of four times the normal rate. */
 const FLOOD: ModelBurst = { queue: 'middle', fromMs: 4_000, untilMs: 9_000, factor: 4 };
 
-/** Loads of the comparison, by name; the seed and the ways are added. */
+/** Loads of the comparison by name, without seed and policies. */
 export const LOADS: Readonly<Record<string, Omit<ScarceCapacityRun, 'seed'>>> = {
   calm: { lengthMs: 12_000, bursts: [] },
   large: { lengthMs: 12_000, bursts: [LARGE] },
--- a/test/fakes/SuspendedTime.ts
+++ b/test/fakes/SuspendedTime.ts
@@ -1,7 +1,7 @@
-/** The time in which a VM of a test was suspended. */
+/** Suspended time of a simulated VM. */
 import type { FakeClock } from './FakeClock.js';
 
-/** Suspended time of one VM, as it goes by. */
+/** Accumulates the suspended time of one VM. */
 export class SuspendedTime {
   private beforeMs = 0;
   private from = 0;
@@ -9,24 +9,24 @@
 
   constructor(private readonly base: FakeClock) {}
 
-  /** When the VM wakes, or has woken last. */
+  /** Time of the next or latest resume. */
   get until(): number {
     return this.untilAt;
   }
 
-  /** Suspended time up to now, ms. */
+  /** Total suspended time until now, ms. */
   get ms(): number {
     return this.beforeMs + Math.max(0, Math.min(this.base.now(), this.untilAt) - this.from);
   }
 
-  /** The VM is suspended from now on for so long. */
+  /** Suspends the VM from now on. */
   suspend(ms: number): void {
     this.beforeMs = this.ms;
     this.from = this.base.now();
     this.untilAt = this.from + ms;
   }
 
-  /** The VM wakes before its time. */
+  /** Resumes the VM early. */
   wake(): void {
     this.untilAt = Math.min(this.untilAt, this.base.now());
   }
--- a/test/fakes/VirtualTime.ts
+++ b/test/fakes/VirtualTime.ts
@@ -1,12 +1,12 @@
-/** Virtual time in fixed steps, with what is to happen then: cheaper than `FakeClock` where thousands of things wait. */
+/** Virtual time in fixed steps; cheaper than `FakeClock` with thousands of timers. */
 import { Clock } from '../../src/_lib/Clock.js';
 
-/** One step, ms. */
+/** Step, ms. */
 const STEP_MS = 0.5;
-/** Turns of the microtask queue in each step; what is left runs on in the next ones. */
+/** Microtask turns per step; remaining continuations run in later steps. */
 const SETTLE_TURNS = 8;
 
-/** A clock that moves in steps. */
+/** Clock that advances in fixed steps. */
 export class VirtualTime extends Clock {
   private step = 0;
   private readonly due = new Map<number, (() => void)[]>();
@@ -23,7 +23,7 @@
     return new Promise((resolve) => this.schedule(ms, resolve));
   }
 
-  /** Has something happen after at least so many ms, and after one step. */
+  /** Runs an action after at least the given time and one step. */
   schedule(ms: number, action: () => void): void {
     const at = this.step + Math.max(1, Math.ceil(ms / STEP_MS));
     const actions = this.due.get(at);
@@ -31,7 +31,7 @@
     else this.due.set(at, [action]);
   }
 
-  /** Moves time on by one step, and has happen what is due. */
+  /** Advances time by one step and runs the actions that are due. */
   async advance(): Promise<void> {
     this.step += 1;
     const actions = this.due.get(this.step) ?? [];
--- a/test/fakes/buildRoutes.ts
+++ b/test/fakes/buildRoutes.ts
@@ -1,14 +1,14 @@
 import { createRandom } from '../../src/_lib/createRandom.js';
 import type { QueueRoute } from '../../src/version/configuration.js';
 
-/** Services that the queues share. */
+/** Number of services that the queues share. */
 const SERVICES = 12;
 
 /**
- * Builds the routes of a large configuration: names and figures differ as those of operators do.
+ * Builds the routes of a large configuration with varied names and values.
  *
- * @param count - of routes, 1 at least
- * @param version - that they belong to; the first route has a service of its own, `service-of-VERSION`
+ * @param count - number of routes, at least 1
+ * @param version - version of the configuration; the first route has its own service, `service-of-VERSION`
  */
 export function buildRoutes(count: number, version: number): QueueRoute[] {
   const nextRandom = createRandom(count);
--- a/test/fakes/checkDispatchSimulation.ts
+++ b/test/fakes/checkDispatchSimulation.ts
@@ -1,32 +1,33 @@
-/** Checks of the promises in the randomised runs of dispatchers and agents. */
+/** Invariants of the randomised simulation of dispatchers and executors. */
 import type { JobOutcome } from '../../src/request/dispatch/submission.js';
 import { STEP } from './dispatchFixtures.js';
 import type { SimExecutor, SimDispatcher, SimJob, SimUpstream } from './dispatchSimulationState.js';
 
-/** Step of a run, after each of which it is checked, ms. */
+/** Interval between checks, ms. */
 export const SIMULATION_STEP_MS = 5;
-/** Time that callers keep before they submit a job again elsewhere, ms. */
+/** Delay before a caller submits a job again at another dispatcher, ms. */
 export const RESUBMIT_MS = 1_300;
-/** Tasks that each upstream has room for at first. */
+/** Initial capacity of each upstream, in tasks. */
 export const CAPACITY_TASKS = 4;
-/** Room of each upstream at first. */
+/** Initial capacity of each upstream. */
 export const CAPACITY = {
   cpuMilli: CAPACITY_TASKS * STEP.resources.cpuMilli,
   memoryMb: 1_000,
   gpus: 0,
 };
 
-/** No task at work twice, nothing beyond room, nothing of a caller that left so long ago. */
+/** Checks that no task runs twice, beyond capacity, or longer than the resubmit delay after its callers left. */
 export function checkRuns(executors: readonly SimExecutor[], jobs: readonly SimJob[], now: number): void {
   const atWork = new Set<string>();
   for (const { upstream } of executors) {
     const { fake } = upstream;
     fake.applyTime();
-    if (fake.doubled > 0) throw new Error('a run began beside another of its task');
-    // Room may shrink below what runs: only a start can go beyond it.
+    if (fake.doubled > 0) throw new Error('a task was started while another run of it was active');
+    // Capacity may shrink below the running tasks, so only new starts are checked.
     const hasBegun = fake.starts > upstream.checkedStarts;
     upstream.checkedStarts = fake.starts;
-    if (hasBegun && fake.running.size > findCapacityTasks(upstream, now)) throw new Error('beyond the room');
+    if (hasBegun && fake.running.size > findCapacityTasks(upstream, now))
+      throw new Error('a task was started beyond the capacity');
     for (const [key, { name }] of fake.running) {
       const job = jobs.find(({ id }) => id === name.job);
       if (!job) throw new Error(`${name.job} was never submitted`);
@@ -40,18 +41,18 @@
   }
 }
 
-/** Every process has learnt what the operators wrote last of the failure domains. */
+/** Checks that every process has the newest list of emptied failure domains. */
 export function checkEmptiedRevision(
   processes: readonly Pick<SimDispatcher | SimExecutor, 'exchange'>[],
   revision: number,
 ): void {
   for (const { exchange } of processes) {
     if (exchange.versions.emptiedRevision !== revision)
-      throw new Error('a process does not know which domains are emptied');
+      throw new Error('a process lacks the newest list of emptied domains');
   }
 }
 
-/** Every caller that waited has one answer, and nothing has run of a job that was refused; returns the answers. */
+/** Checks that every waiting caller has one answer and that no refused job has run; returns the answers. */
 export function checkAnswers(job: SimJob): readonly JobOutcome[] {
   const answers: JobOutcome[] = [];
   for (const { caller, leftAt } of job.callers) {
@@ -65,7 +66,7 @@
   return answers;
 }
 
-/** Room that starts of the last step could go by: one that was on its way when the word came could not know it. */
+/** Returns the capacity that starts of the last step may use: a start in flight may predate the newest report. */
 function findCapacityTasks({ reportedTasks, reportedAt, previousTasks }: SimUpstream, now: number): number {
   return now - reportedAt < SIMULATION_STEP_MS ? Math.max(reportedTasks, previousTasks) : reportedTasks;
 }
--- a/test/fakes/countService.ts
+++ b/test/fakes/countService.ts
@@ -1,27 +1,27 @@
-/** Sums up a play of `ScarceRoomModel` as callers count it. */
+/** Summarises a run of `ScarceCapacityModel` from the view of its callers. */
 import { evaluateJob } from './ScarceCapacityModel.js';
 import type { ScarceCapacityJob } from './ScarceCapacityModel.js';
 
-/** What a late answer is worth of one in time. */
+/** Worth of a late answer relative to one in time. */
 const LATE_WORTH = 0.2;
-/** Part of a job's worth that does not depend on its work. */
+/** Share of a job's worth that does not depend on its work. */
 const FIXED_WORTH = 0.3;
 const MAX_WORTH = 4;
-/** Time within which a refusal counts as told at once, ms. */
+/** Time within which a refusal counts as immediate, ms. */
 const IMMEDIATE_MS = 20;
 
-/** Service of some jobs; shares of 1. */
+/** Summary of some jobs; values are shares from 0 to 1. */
 export interface ServiceSummary {
   readonly queues: Readonly<Record<string, number>>;
-  /** Worth earned of that owed: all (queues count alike), the worst queue, the worst of the size classes. */
+  /** Earned share of the worth: mean of the queues, worst queue and worst size class. */
   readonly total: number;
   readonly worstQueue: number;
   readonly worstSize: number;
-  /** As the users count: 0.4 for all, 0.3 for the worst of queues and size classes, of 0.7. */
+  /** Weighted worth: 0.4 of the total and 0.3 of the worst queue or size class, divided by 0.7. */
   readonly worth: number;
-  /** Least of a size class's jobs that were answered, against its queue's. */
+  /** Lowest ratio of a size class's answered jobs to those of its queue. */
   readonly leastShare: number;
-  /** In time, of the largest tenth of each queue, and of the fifth below it, all queues together. */
+  /** In-time share of each queue's largest tenth of jobs, and of the fifth below it, over all queues. */
   readonly tenth: number;
   readonly fifth: number;
   readonly refusedAtOnce: number;
@@ -31,7 +31,7 @@
   readonly interrupted: number;
 }
 
-/** Counts the service of a play's jobs. */
+/** Summarises the jobs of a run. */
 export function countService(jobs: readonly ScarceCapacityJob[]): ServiceSummary {
   const byQueue = new Map<string, ScarceCapacityJob[]>();
   for (const job of jobs) byQueue.set(job.queue, [...(byQueue.get(job.queue) ?? []), job]);
@@ -76,7 +76,7 @@
   };
 }
 
-/** Worth earned of that owed; a job's worth rises with its work against the mean of its queue. */
+/** Computes the earned share of the worth; a job's worth rises with its work relative to its queue's mean. */
 function measureWorth(jobs: readonly ScarceCapacityJob[], queue = jobs): number {
   const meanWork = queue.reduce((sum, { work }) => sum + work, 0) / queue.length;
   let owed = 0;
--- a/test/fakes/dispatchCommands.ts
+++ b/test/fakes/dispatchCommands.ts
@@ -1,4 +1,4 @@
-/** Commands of the randomised runs of dispatchers and agents. */
+/** Commands of the randomised simulation of dispatchers and executors. */
 import * as fc from 'fast-check';
 
 import type { DispatchSimulation } from './DispatchSimulation.js';
@@ -163,34 +163,34 @@
   hang,
 ];
 
-/** Draws the commands of one run; a seed goes on to mean the same run. */
+/** Commands of one run. The list must not change, so that a seed reproduces its run. */
 export const dispatchCommands = fc.commands(EARLIER_COMMANDS, { maxCommands: MAX_COMMANDS, size: 'max' });
 
-/** The same, and connections that go silent for good, and words of earlier lives that come late. */
+/** Adds unresponsive connections and delayed messages of earlier incarnations. */
 export const lateReportCommands = fc.commands(
   [...EARLIER_COMMANDS, mute, mute, replace, lateReport, lateReport, lateHello],
   { maxCommands: MAX_COMMANDS, size: 'max' },
 );
 
-/** The same, and failure domains that are emptied and taken back. */
+/** Adds failure domains that are emptied and restored. */
 export const domainCommands = fc.commands(
   [...EARLIER_COMMANDS, mute, lateHello, changeDomain, changeDomain, changeDomain],
   { maxCommands: MAX_COMMANDS, size: 'max' },
 );
 
-/** The same as the first, and upstreams that start again under their id. */
+/** Adds upstreams that restart under the same id. */
 export const restartCommands = fc.commands(
   [...EARLIER_COMMANDS, replace, lateReport, restartUpstream, restartUpstream, restartUpstream],
   { maxCommands: MAX_COMMANDS, size: 'max' },
 );
 
-/** The same as the first, and VMs that are suspended, or whose time of day is set. */
+/** Adds suspended VMs and steps of the time of day. */
 export const suspensionCommands = fc.commands(
   [...EARLIER_COMMANDS, suspend, suspend, suspend, suspend, stepTimeOfDay],
   { maxCommands: MAX_COMMANDS, size: 'max' },
 );
 
-/** The same as the first, and upstreams whose room shrinks and grows. */
+/** Adds upstreams whose capacity changes. */
 export const capacityCommands = fc.commands(
   [...EARLIER_COMMANDS, replace, lateReport, changeRoom, changeRoom, changeRoom, changeRoom],
   { maxCommands: MAX_COMMANDS, size: 'max' },
--- a/test/fakes/dispatchFixtures.ts
+++ b/test/fakes/dispatchFixtures.ts
@@ -1,4 +1,4 @@
-/** A queue, a step and limits for tests of the dispatcher, each to be changed where a test needs it. */
+/** Default queue, step and limits for tests of the dispatcher. */
 import { SpeedPlacement } from '../../src/process/dispatcher/Placement.js';
 import type { DispatchOptions } from '../../src/process/dispatcher/Dispatcher.js';
 import { DelayWindow } from '../../src/process/dispatcher/SendWindow.js';
@@ -7,7 +7,7 @@
 import type { StepNeed } from '../../src/request/dispatch/submission.js';
 import type { QueueRoute } from '../../src/version/configuration.js';
 
-/** A queue. */
+/** Queue with default values. */
 export const ROUTE: QueueRoute = {
   name: 'queue',
   host: 'a.example',
@@ -20,7 +20,7 @@
   needsAdvice: false,
 };
 
-/** A step of one task. */
+/** Step of one task. */
 export const STEP: StepNeed = {
   count: 1,
   resources: { cpuMilli: 1_000, memoryMb: 10, gpus: 0 },
@@ -30,7 +30,7 @@
   preferredRack: '',
 };
 
-/** Limits that no test meets by accident. */
+/** Limits that no test reaches unintentionally. */
 export const WIDE_LIMITS: JobLimits = {
   maxOpenJobs: 100_000,
   maxOpenBytes: 1_000_000_000,
@@ -38,7 +38,7 @@
   maxJobSteps: 1_000,
 };
 
-/** Creates the ways in which a dispatcher decides that the randomised runs play. */
+/** Creates the policies of the dispatchers in the simulation. */
 export function createPolicies(): Pick<DispatchOptions, 'bounds' | 'placement' | 'window'> {
   return {
     bounds: new JobBounds(WIDE_LIMITS),
--- a/test/fakes/dispatchSimulationDomains.ts
+++ b/test/fakes/dispatchSimulationDomains.ts
@@ -1,4 +1,4 @@
-/** Failure domains of the randomised runs, and what each agent knows of them. */
+/** Failure domains of the simulation and their emptied state at each process. */
 import type { StartOrder } from '../../src/connection/peer/peerMessages.js';
 import type { Executor } from '../../src/process/executor/Executor.js';
 import type { PeerChannel } from '../../src/process/NewestExchange.js';
@@ -8,13 +8,13 @@
 import type { ReportedVersions } from '../../src/process/OperatorExchange.js';
 import type { Link, SimExecutor, SimDispatcher } from './dispatchSimulationState.js';
 
-/** Configurations play no part here. */
+/** The simulation has no configurations. */
 const NO_VERSION = -1;
 
-/** Failure domains of the agents, by turns. */
+/** Failure domains, assigned to executors in turn. */
 export const DOMAINS = ['north', 'south'] as const;
 
-/** Finds the failure domain of an agent. */
+/** Finds the failure domain of an executor. */
 export function findDomain({ index }: { readonly index: number }): string {
   return DOMAINS[index % DOMAINS.length] ?? '';
 }
@@ -23,7 +23,7 @@
   return executor.exchange.emptied?.domains.includes(findDomain(executor)) === true;
 }
 
-/** Creates what an agent knows of the operators' word. */
+/** Creates the operator exchange of an executor. */
 export function createExecutorExchange(executor: SimExecutor, core: Executor): OperatorExchange {
   return new OperatorExchange({
     changeConfiguration: () => undefined,
@@ -31,20 +31,21 @@
   });
 }
 
-/** Whether an entry knows that the failure domain of an agent is emptied. */
+/** Checks whether a dispatcher has received that an executor's failure domain is emptied. */
 export function isKnownEmptied({ exchange }: SimDispatcher, executor: SimExecutor): boolean {
   return exchange.emptied?.domains.includes(findDomain(executor)) === true;
 }
 
-/** Has an agent take an order, which it must not do in a domain that it knows to be emptied. */
+/** Handles a start at an executor; throws if the executor accepts it in a domain that it has received as emptied. */
 export function handleStart({ executor, incarnation }: Link, order: StartOrder): void {
   const { core } = executor;
   const load = core.load;
   core.handleStart(incarnation, order);
-  if (core.load > load && isEmptied(executor)) throw new Error('an agent takes work in an emptied domain');
+  if (core.load > load && isEmptied(executor))
+    throw new Error('an executor accepts a task in an emptied domain');
 }
 
-/** Has a process ask its peer for a newer list of emptied domains. */
+/** Requests a newer list of emptied domains from a peer. */
 export function compareEmptied(
   exchange: OperatorExchange,
   { emptiedRevision }: Pick<ReportedVersions, 'emptiedRevision'>,
@@ -54,7 +55,7 @@
   exchange.compareVersions({ version: NO_VERSION, emptiedRevision }, channel, now);
 }
 
-/** Writes one record more, as the operators do. */
+/** Applies the next record of the operators. */
 export function applyWrittenChange(
   written: EmptiedDomains = { revision: 0, domains: [] },
   domain: string,
--- a/test/fakes/dispatchSimulationState.ts
+++ b/test/fakes/dispatchSimulationState.ts
@@ -1,4 +1,4 @@
-/** What the randomised runs of dispatchers and agents hold: links, processes, upstreams and jobs. */
+/** State of the simulation: links, processes, upstreams and jobs. */
 import type {
   ExecutorMessage,
   DispatcherMessage,
@@ -12,13 +12,13 @@
 import type { FakeUpstream } from './FakeUpstream.js';
 import type { ProcessGate } from './ProcessGate.js';
 
-/** A message on its way. */
+/** Message in flight and its time of arrival. */
 export interface InFlightMessage<Message> {
   readonly at: number;
   readonly message: Message;
 }
 
-/** A connection of an agent to an entry. */
+/** Connection of an executor to a dispatcher. */
 export interface Link {
   readonly dispatcher: SimDispatcher;
   readonly executor: SimExecutor;
@@ -28,11 +28,11 @@
   executorId: string;
   incarnation: string;
   broken: boolean;
-  /** Carries nothing any more, not even its end. */
+  /** Whether it carries nothing any more, not even a close. */
   silent: boolean;
 }
 
-/** Creates a connection that has just been opened. */
+/** Creates a newly opened connection. */
 export function createLink(dispatcher: SimDispatcher, executor: SimExecutor, openedAt: number): Link {
   const closed = { broken: false, silent: false };
   return {
@@ -47,7 +47,7 @@
   };
 }
 
-/** An entry in its newest life. */
+/** Latest incarnation of a dispatcher. */
 export interface SimDispatcher {
   readonly index: number;
   incarnation: number;
@@ -57,7 +57,7 @@
   lastStepAt: number;
 }
 
-/** An agent in its newest life. */
+/** Latest incarnation of an executor. */
 export interface SimExecutor {
   readonly index: number;
   incarnation: number;
@@ -69,30 +69,27 @@
   readonly lastIncarnations: Map<number, string>;
 }
 
-/** A life of an upstream. */
+/** Incarnation of an upstream. */
 export interface SimUpstream {
-  /** Of the upstream; lives have one each, or one for all of them. */
+  /** Id of the upstream; own or shared by all incarnations. */
   readonly id: string;
   readonly incarnation: number;
   readonly fake: FakeUpstream;
-  /**
-   * Until when something may run there that its executor has had no time to stop: it was suspended along with it, which its
-   * leases do not count.
-   */
+  /** Until when tasks may run that the executor could not stop yet; leases do not count suspended time. */
   uncertainUntil: number;
-  /** Tasks that it has room for. */
+  /** Capacity, in tasks. */
   capacityTasks: number;
-  /** Those that its executor was last told of, when that was, and those before. */
+  /** Last reported capacity, the time of that report, and the capacity reported before. */
   reportedTasks: number;
   reportedAt: number;
   previousTasks: number;
-  /** Starts that have been checked. */
+  /** Number of starts that have been checked. */
   checkedStarts: number;
-  /** Reports that this life has sent, where each life counts its own. */
+  /** Number of reports of this incarnation, if each one counts its own. */
   reports: number;
 }
 
-/** A job and the callers that have submitted it, one after another. */
+/** Job and its successive callers. */
 export interface SimJob {
   readonly id: string;
   readonly tasks: number;
@@ -100,7 +97,7 @@
   started: boolean;
 }
 
-/** Configurations play no part in the runs. */
+/** The simulation has no configurations. */
 const VERSION = 1;
 
 /** Builds the next ping of a link. */
@@ -109,14 +106,14 @@
   return { ...executor.core.buildPing(incarnation, VERSION), emptiedRevision };
 }
 
-/** Builds the echo of a ping, as of an entry at which tasks wait. */
+/** Builds the pong of a dispatcher with waiting tasks. */
 export function buildPong({ core, exchange }: SimDispatcher, { at }: Ping): Pong {
   const { emptiedRevision } = exchange.versions;
   const { typicalSpeed } = core;
   return { type: 'pong', at, version: VERSION, emptiedRevision, typicalSpeed, isWaiting: true };
 }
 
-/** Picks an item by a number that may be larger than there are items. */
+/** Picks an item by its index modulo the number of items. */
 export function pickOne<Item>(items: readonly Item[], index: number): Item {
   const item = items[index % items.length];
   if (item === undefined) throw new Error('nothing to pick from');
--- a/test/fakes/dispatchSimulationUpstreams.ts
+++ b/test/fakes/dispatchSimulationUpstreams.ts
@@ -1,4 +1,4 @@
-/** Upstreams of the randomised runs: their lives, what they say of themselves, and the way to them. */
+/** Upstreams of the simulation: incarnations, reports and clients. */
 import type { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type { UpstreamReport } from '../../src/ports/UpstreamRegistry.js';
 import { AddressUpstreamApi } from './AddressUpstreamApi.js';
@@ -9,55 +9,55 @@
 import { FakeUpstream } from './FakeUpstream.js';
 import { SuspendedTime } from './SuspendedTime.js';
 
-/** Start of the first life that keeps its id, Unix ms. */
+/** Start of the first incarnation if incarnations share an id, Unix ms. */
 const FIRST_BORN_MS = 1_700_000_000_000;
-/** Clock of an upstream before its first life, and what it changes by from life to life, ms. */
+/** Clock of an upstream before its first incarnation, and its change per incarnation, ms. */
 const FIRST_CLOCK_MS = 500_000;
 const CLOCK_STEP_MS = 1_000;
-/** Time for which an upstream that a task has crashed is down, ms. */
+/** Downtime of an upstream after a crash by a task, ms. */
 const CRASHED_MS = 3_000;
-/** Reports that an earlier life has sent; far more than a run is long. */
+/** Reports of an earlier incarnation; more than any run sends. */
 const MANY_REPORTS = 1_000_000;
-/** Longest time after waking for which a lease of before holds, ms. */
+/** Longest time after a resume for which an earlier lease is valid, ms. */
 const REMAINING_LEASE_MS = 700;
 
-/** The upstreams beside the agents of a run. */
+/** Upstreams of the executors of a run. */
 export class SimUpstreams {
-  /** When tasks crashed upstreams. */
+  /** Times at which tasks crashed upstreams. */
   readonly crashedAt: number[] = [];
   private readonly crashed = new Set<SimExecutor>();
   private poison = '';
   private sequence = 0;
-  /** By agent, of the VM of its upstreams. */
+  /** Suspended time of each upstream's VM, by index of the executor. */
   private readonly suspended = new Map<number, SuspendedTime>();
 
   /**
-   * @param clock - of the run
-   * @param keepsIds - whether lives of an upstream follow each other under one id, each with counts of its own
+   * @param clock - clock of the run
+   * @param keepsIds - whether incarnations of an upstream share an id, each with its own report sequence
    */
   constructor(
     private readonly clock: FakeClock,
     private readonly keepsIds: boolean,
   ) {}
 
-  /** Creates the first life of an agent's upstream. */
+  /** Creates the first incarnation of an executor's upstream. */
   create(index: number): SimUpstream {
     return this.createIncarnation(index, 1);
   }
 
-  /** Ends the life of an agent's upstream, which answers nothing from now on. */
+  /** Ends the incarnation of an executor's upstream, which no longer answers. */
   end({ upstream }: SimExecutor): void {
     upstream.fake.running.clear();
     upstream.fake.isOver = true;
     upstream.fake.silent = true;
   }
 
-  /** Has the next life of an agent's upstream take the place of the one that was ended. */
+  /** Starts the next incarnation of an executor's upstream. */
   begin(executor: SimExecutor): void {
     executor.upstream = this.createIncarnation(executor.index, executor.upstream.incarnation + 1);
   }
 
-  /** Has the next life of an agent's upstream answer at once where the last one did. */
+  /** Replaces an executor's upstream by its next incarnation, which answers at once at the same address. */
   replace(executor: SimExecutor): void {
     const { fake } = executor.upstream;
     this.end(executor);
@@ -66,25 +66,25 @@
     this.begin(executor);
   }
 
-  /** Suspends the VM of an agent's upstream. */
+  /** Suspends the VM of an executor's upstream. */
   suspend({ index, upstream }: SimExecutor, ms: number): void {
     const suspended = this.findSuspended(index);
     suspended.suspend(ms);
     upstream.uncertainUntil = suspended.until + REMAINING_LEASE_MS;
   }
 
-  /** Has the VMs of all upstreams run. */
+  /** Resumes the VMs of all upstreams. */
   wake(): void {
     for (const suspended of this.suspended.values()) suspended.wake();
   }
 
-  /** Tasks of a job crash the upstreams that begin them. */
+  /** Sets the job whose tasks crash the upstreams that start them. */
   setPoison(job: string, executors: readonly SimExecutor[]): void {
     this.poison = job;
     for (const { upstream } of executors) upstream.fake.poison = job;
   }
 
-  /** Has the next life of each upstream that a task has crashed begin after a while. */
+  /** Schedules the next incarnation of each upstream that a task has crashed. */
   restartCrashed(executors: readonly SimExecutor[], report: (executor: SimExecutor) => void): void {
     for (const executor of executors) {
       if (!executor.upstream.fake.refuses || this.crashed.has(executor)) continue;
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Builds the next report of a life of an agent's upstream. */
+  /** Builds the next report of an incarnation of an executor's upstream. */
   buildReport({ index, upstream }: SimExecutor, incarnation: number): UpstreamReport {
     this.sequence += 1;
     return {
@@ -118,7 +118,7 @@
     };
   }
 
-  /** Returns the tasks that a life has room for; an earlier one tells what it had at first. */
+  /** Returns the capacity to report, in tasks; earlier incarnations report the initial capacity. */
   private takeReportedTasks(upstream: SimUpstream, incarnation: number): number {
     if (incarnation !== upstream.incarnation) return CAPACITY_TASKS;
     if (upstream.capacityTasks === upstream.reportedTasks) return upstream.reportedTasks;
@@ -128,7 +128,7 @@
     return upstream.reportedTasks;
   }
 
-  /** Opens the way to a life that has reported itself. */
+  /** Opens a client of the incarnation that has reported itself. */
   openApi(id: string, findAgent: () => SimExecutor): UpstreamApi {
     const { upstream } = findAgent();
     if (this.keepsIds) return new AddressUpstreamApi(() => findAgent().upstream.fake);
@@ -138,7 +138,7 @@
     return gone;
   }
 
-  /** Numbers of reports begin anew with each life; an earlier one had sent many. */
+  /** Returns the next report number of an incarnation; earlier incarnations have sent many reports. */
   private countInIncarnation(upstream: SimUpstream, incarnation: number): number {
     if (incarnation !== upstream.incarnation) return MANY_REPORTS + this.sequence;
     upstream.reports += 1;
--- a/test/fakes/runDispatchSimulation.ts
+++ b/test/fakes/runDispatchSimulation.ts
@@ -4,15 +4,15 @@
 import { DispatchSimulation } from './DispatchSimulation.js';
 
 /**
- * Runs dispatchers and agents through random failures.
+ * Simulates dispatchers and executors under random faults.
  *
- * @param drawn - what the commands of a run are drawn from
+ * @param drawn - arbitrary of the commands of a run
  * @param seed - first seed
  * @param runs - number of runs
- * @param shrink - whether a failure is reduced, which takes long
- * @param keepsIds - whether lives of an upstream follow each other under one id
- * @returns what was submitted and how it was answered
- * @throws when a promise is broken, with seed and commands
+ * @param shrink - whether a failure is shrunk, which is slow
+ * @param keepsIds - whether incarnations of an upstream share an id
+ * @returns number of submissions and of answers by kind
+ * @throws if an invariant is violated, with seed and commands
  */
 export async function runDispatchSimulation(
   drawn: typeof dispatchCommands,
--- a/test/fakes/soakFaults.ts
+++ b/test/fakes/soakFaults.ts
@@ -1,22 +1,22 @@
-/** The faults that a soak draws from, each with the end of its own disturbance. */
+/** Faults of the soak test; each fault ends its own disturbance. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import type { DirectionMode, LoopbackProxy } from './LoopbackProxy.js';
 import type { PlatformBench } from './PlatformBench.js';
 
-/** Longest disturbance, ms; some last as long as it takes to count as lost, most are shorter. */
+/** Longest disturbance, ms; long enough to exceed the orphan timeout. */
 const LONGEST_MS = 2_500;
 const MAX_DELAY_MS = 120;
 const MUTED_STARTS = 5;
 
-/** One fault. */
+/** Fault of a soak test. */
 export interface SoakFault {
   readonly name: string;
-  /** Disturbs, waits and heals. */
+  /** Injects the fault, waits and ends it. */
   readonly inject: () => Promise<void>;
 }
 
-/** What a fault may strike. */
+/** Number of processes that a fault may affect. */
 export interface SoakSizes {
   readonly entries: number;
   readonly agents: number;
@@ -31,12 +31,12 @@
 }
 
 /**
- * Draws a fault, what it strikes and how long it lasts.
+ * Draws a fault, its target and its duration.
  *
  * @param bench - the processes
- * @param sizes - how many there are
- * @param nextRandom - from 0 to 1
- * @param kinds - to draw from
+ * @param sizes - number of processes
+ * @param nextRandom - returns a number from 0 to 1
+ * @param kinds - kinds to draw from
  * @returns the fault
  */
 export function drawFault(
@@ -58,7 +58,7 @@
   return { name, inject: () => FAULTS[kind]?.(bench, target, ms, strength) ?? Promise.resolve() };
 }
 
-/** Kinds of fault that a seed always drew from: it must go on to mean the same run. */
+/** Basic kinds of faults. The list must not change, so that a seed reproduces its run. */
 export const EARLIER_KINDS: readonly string[] = [
   'freeze',
   'kill',
@@ -76,13 +76,13 @@
   'configure',
 ];
 
-/** All kinds; connections that go silent for good come more often than others. */
+/** Adds unresponsive connections, which are drawn more often than other faults. */
 export const ALL_KINDS: readonly string[] = [...EARLIER_KINDS, 'silence', 'silence', 'silence', 'silenceAll'];
 
-/** The same, and failure domains that are emptied and taken back. */
+/** Adds failure domains that are emptied and restored. */
 export const DOMAIN_KINDS: readonly string[] = [...ALL_KINDS, 'evacuate', 'evacuate', 'evacuate'];
 
-/** The same, and upstreams that crash and start again under their ids. */
+/** Adds upstreams that crash and restart under their ids. */
 export const RESTART_KINDS: readonly string[] = [
   ...DOMAIN_KINDS,
   'restartRunner',
@@ -91,10 +91,10 @@
   'restartRunner',
 ];
 
-/** Failure domains of the agents, by turns. */
+/** Failure domains, assigned to executors in turn. */
 export const SOAK_DOMAINS = ['north', 'south'] as const;
 
-/** Puts the agents into failure domains, by turns. */
+/** Assigns the executors to failure domains in turn. */
 export function assignDomains(executors: number): Readonly<Record<string, string>> {
   const numbers = Array.from({ length: executors }, (_, at) => at + 1);
   return Object.fromEntries(numbers.map((number) => [`agent-${number}`, findSoakDomain(number)]));
@@ -114,7 +114,7 @@
   kill: (bench, { daemon }, ms) => restart(bench, daemon, 'SIGKILL', ms / 4),
   terminate: (bench, { daemon }) => restart(bench, daemon, 'SIGTERM', 0),
   reload: async (bench, { daemon }) => {
-    // Before its first line is written, Node itself still starts, and its default for the signal is to end.
+    // Until the first output Node is still starting, and SIGHUP would end the process.
     if (bench.isRunning(daemon) && bench.readOutput(daemon) !== '') bench.signal(daemon, 'SIGHUP');
   },
   cut: (bench, { proxy }, ms) => hold(bench.proxies.get(proxy), ms, 'hold', 'hold'),
--- a/test/fakes/upstreamFixtures.ts
+++ b/test/fakes/upstreamFixtures.ts
@@ -1,14 +1,14 @@
-/** An upstream's report and an order to it, for tests of the executor and of what reads them. */
+/** Fixtures of upstream reports, heartbeats and start orders. */
 import type { StartOrder } from '../../src/connection/peer/peerMessages.js';
 import type { UpstreamReport } from '../../src/ports/UpstreamRegistry.js';
 
-/** Room of an upstream: four of the tasks below. */
+/** Capacity of an upstream: four tasks of `buildStartOrder`. */
 export const UPSTREAM_CAPACITY = { cpuMilli: 4_000, memoryMb: 1_000, gpus: 0 };
 
-/** Where it takes orders. */
+/** Address of the upstream. */
 export const UPSTREAM_ADDRESS = '127.0.0.1:1';
 
-/** A heartbeat as an upstream of the platform sends it, one whose lives share an id. */
+/** Heartbeat of an upstream whose incarnations share an id. */
 export const HEARTBEAT = {
   service: 's',
   address: '10.0.0.1:80',
@@ -25,9 +25,9 @@
 };
 
 /**
- * Builds the first report of an upstream whose lives have ids of their own.
+ * Builds the first report of an upstream whose incarnations have their own ids.
  *
- * @param change - what is to be otherwise
+ * @param change - fields to override
  */
 export function buildUpstreamReport(change: Partial<UpstreamReport> = {}): UpstreamReport {
   return {
@@ -47,8 +47,8 @@
 /**
  * Builds an order to start a task of a job.
  *
- * @param index - of the task
- * @param change - what is to be otherwise
+ * @param index - index of the task
+ * @param change - fields to override
  */
 export function buildStartOrder(index: number, change: Partial<StartOrder> = {}): StartOrder {
   return {
--- a/test/fakes/worldCommands.ts
+++ b/test/fakes/worldCommands.ts
@@ -1,9 +1,9 @@
-/** The commands of the randomised runs. */
+/** Commands of the randomised simulation of entries and agents. */
 import * as fc from 'fast-check';
 
 import type { FakeWorld } from './FakeWorld.js';
 
-/** Counts what a run did; fast-check needs a model beside the real thing. */
+/** Model that fast-check requires; counts the commands of a run. */
 export interface RunModel {
   commands: number;
 }
@@ -74,13 +74,13 @@
   .map(([id, ms]) => createCommand(`pause(${id},${ms})`, (world) => world.pause(id, ms)));
 
 /**
- * Stops an entry with work at hand; its callers go elsewhere; it wakes up and goes on.
+ * Pauses an entry that has open jobs; its callers submit them to another entry before it resumes.
  *
- * @param world - in which
- * @param number - of the first of its jobs
+ * @param world - simulation
+ * @param number - number of the first job
  * @param at - number of the entry
- * @param soon - time from the jobs to the pause, ms
- * @param ms - how long the pause lasts
+ * @param soon - time from the submission to the pause, ms
+ * @param ms - duration of the pause, ms
  */
 export function runOvertaking(world: FakeWorld, number: number, at: number, soon: number, ms: number): void {
   for (let i = 0; i < 16; i += 1) world.submit((number + i) % JOBS, at);
@@ -122,7 +122,7 @@
 
 const expireLog = fc.constant(createCommand('expireLog', (world) => world.log.expire(20)));
 
-/** Any sequence of commands. Submissions and short waits are the most frequent. */
+/** Sequences of commands; submissions and short waits are the most frequent. */
 export const worldCommands = fc.commands(
   [
     submit,
