--- a/test/cancelledJobs.test.ts
+++ b/test/cancelledJobs.test.ts
@@ -1,6 +1,6 @@
 /**
- * No task of a cancelled job runs on: not one that its upstream begins only after the job was cancelled, and not one
- * whose dispatcher or executor has been removed for good. Tasks would work for longer than the tests wait.
+ * Guards against tasks of a cancelled job that keep running, because their upstream started them late or because their
+ * dispatcher or executor was killed. Tasks take longer than the tests wait.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -9,17 +9,14 @@
 import { PlatformBench } from './fakes/PlatformBench.js';
 
 const TASK_MS = 100_000;
-/**
- * Many times a task, so that no job is given up: a task's progress is told in whole percents, a second each here, and until
- * then an upstream passes for one that works at a fifth of its speed.
- */
+/** Many times a task, so that slow progress reports do not make the dispatcher give up a job. */
 const PATIENCE_MS = 2_000_000;
 const TARGET_LATENCY_MS = 2_000_000;
-/** Longer than any call is waited for and repeated, so that a late start is expected by nobody any more. */
+/** Longer than the timeout of a call and all its retries. */
 const LATE_MS = 2_500;
-/** More than a start is sent. */
+/** More than the attempts to send a start. */
 const LATE_STARTS = 8;
-/** Longer than anything of a cancelled job may take to stop. */
+/** Longer than stopping a cancelled job may take. */
 const SETTLE_MS = 1_500;
 
 describe('tasks of a cancelled job', function () {
@@ -36,7 +33,7 @@
     expect(bench.doubled).to.deep.equal([]);
   });
 
-  /** Cancels a job whose start an upstream has taken, and will carry out later. */
+  /** Cancels a job whose start an upstream has accepted but not applied yet. */
   async function cancelBeforeStart(): Promise<void> {
     for (const runner of bench.runners) {
       runner.lateStarts = LATE_STARTS;
@@ -48,7 +45,7 @@
     expect((await open).status).to.equal(504);
   }
 
-  /** Nothing is at work, and nothing begins any more. */
+  /** Asserts that no task runs and none is started any more. */
   async function assertStopped(): Promise<void> {
     await bench.waitUntilIdle();
     const starts = bench.starts.size;
@@ -57,14 +54,14 @@
     expect(bench.starts.size).to.equal(starts);
   }
 
-  it('are not started late, once their upstream has heard that they are stopped', async () => {
+  it('are not started late after their upstream has received the stop', async () => {
     await cancelBeforeStart();
     await sleep(LATE_MS);
     await assertStopped();
     expect(bench.starts.size).to.equal(0);
   });
 
-  it('are stopped when their upstream starts them late and has heard of no stop', async () => {
+  it('are stopped when their upstream starts them late and has received no stop', async () => {
     for (const runner of bench.runners) runner.lostStops = Infinity;
     await cancelBeforeStart();
     await bench.waitFor(() => bench.starts.size > 0);
@@ -73,7 +70,7 @@
   });
 
   for (const starter of ['entry-1', 'agent-1']) {
-    it(`are stopped when ${starter} is removed that had them started`, async () => {
+    it(`are stopped when ${starter}, which had started them, is killed`, async () => {
       const open = bench.submit('entry-1', 'removed', 12, TASK_MS, PATIENCE_MS);
       await bench.waitFor(() => bench.starts.size === 12);
       bench.signal(starter, 'SIGKILL');
--- a/test/capacityByDemand.test.ts
+++ b/test/capacityByDemand.test.ts
@@ -5,11 +5,11 @@
 
 const SEED = 20261203;
 const TRANSIT_MS = 1;
-/** The peak, in parts of the room. */
+/** Peak load as a share of the capacity. */
 const PEAK = 0.95;
-/** Starts that may come back at the peak. */
+/** Largest share of rejected starts at the peak. */
 const RETURNED = 0.03;
-/** Part of the jobs that may be late or lost beyond those of the whole room told to all, which uses the room at once. */
+/** Largest share of jobs that may be late or lost in addition to those with `open` sharing. */
 const ROUND_TRIP_LOSS = 0.06;
 
 async function play(change: Partial<CapacityScenario>): Promise<CapacityCounts> {
@@ -25,7 +25,7 @@
   return inTime / submitted;
 }
 
-describe('dispatchers that compete for the room of executors', function () {
+describe('dispatchers that compete for the capacity of executors', function () {
   this.timeout(120_000);
 
   let open: CapacityCounts;
@@ -36,11 +36,11 @@
     divided = await play({});
   });
 
-  it('get over 12% of their starts back with `open`', () => {
+  it('have over 12% of their starts rejected with `open`', () => {
     expect(readReturned(open)).to.be.greaterThan(0.12);
   });
 
-  it('get few back where room is divided by demand, from 0.5 to 3 ms one way', async () => {
+  it('have few starts rejected when capacity is divided by demand, with transit times from 0.5 to 3 ms', async () => {
     for (const transitMs of [0.5, TRANSIT_MS, 3]) {
       const count = transitMs === TRANSIT_MS ? divided : await play({ transitMs });
       expect(readReturned(count), `${transitMs} ms`).to.be.lessThan(RETURNED);
@@ -52,7 +52,7 @@
     expect(divided.completed / divided.submitted).to.be.greaterThan(0.96);
   });
 
-  it('leave little room unused while tasks wait', () => {
+  it('leave little capacity unused while tasks wait', () => {
     const { idleWhileWaiting, steps } = divided;
     expect(idleWhileWaiting / steps).to.be.lessThan(0.06);
   });
@@ -62,21 +62,21 @@
     expect(readInTime(await play({ load: 0.5 }))).to.be.greaterThan(readInTime(today) - 0.01);
   });
 
-  it('that tell no demand get the same as with `open`', async () => {
+  it('get the same result as with `open` when they report no demand', async () => {
     const earlier = await play({ earlierDispatchers: 8 });
     expect(earlier.full).to.equal(open.full);
     expect(earlier.completed).to.equal(open.completed);
   });
 });
 
-describe('room that was told to a dispatcher', function () {
+describe('capacity that was reported to a dispatcher', function () {
   this.timeout(120_000);
 
-  /** Time from a failure until what the dispatcher held is counted on by nobody, and a ping, ms. */
+  /** Time after a failure until the capacity of the dispatcher is free again, and one ping interval, ms. */
   const BACK_MS = 700;
   const FAILS_AT = 2_000;
 
-  /** Share of the room that stands idle while tasks wait, once it has to be back. */
+  /** Returns the share of capacity that is idle while tasks wait, after the recovery time. */
   async function measureIdle(run: (model: CapacityModel) => void): Promise<number> {
     const events = [{ at: FAILS_AT, run }];
     const { idleWhileWaiting, steps } = await play({ events, countFromMs: FAILS_AT + BACK_MS, load: 1 });
@@ -118,7 +118,7 @@
     expect(idle).to.be.lessThan(0.08);
   });
 
-  it('leads to few returned starts when demand is 1.5 times the room', async () => {
+  it('causes few rejected starts when demand is 1.5 times the capacity', async () => {
     const count = await play({ load: 1.5, countFromMs: 500, durationMs: 4_000 });
     expect(readReturned(count)).to.be.lessThan(RETURNED);
   });
--- a/test/changingCapacity.test.ts
+++ b/test/changingCapacity.test.ts
@@ -1,17 +1,17 @@
-/** An upstream whose room shrinks and grows, with real processes. */
+/** Capacity changes of an upstream, with real processes. */
 import { expect } from 'chai';
 
 import { PlatformBench } from './fakes/PlatformBench.js';
 
-/** As long as callers wait here: a busy machine must not make a refusal rightful. */
+/** High enough that a dispatcher on a slow VM refuses no job, ms. */
 const TARGET_LATENCY_MS = 20_000;
-/** Room of one task in thousandths of a core. */
+/** Thousandths of a core that a task needs. */
 const TASK_CPU = 1_000;
-/** More tasks than the upstream has room for at any time. */
+/** More tasks than fit the upstream at any time. */
 const WIDE = 6;
 const TASK_MS = 150;
 
-describe('an upstream whose room changes', function () {
+describe('an upstream whose capacity changes', function () {
   this.timeout(120_000);
   let bench: PlatformBench;
 
@@ -26,35 +26,35 @@
     expect(bench.beyondCapacity).to.deep.equal([]);
   });
 
-  /** Has the upstream say that it has room for so many tasks, and waits until its executor has taken note. */
+  /** Makes the upstream report a capacity, in tasks, and waits until its executor has logged it. */
   async function tellRoom(tasks: number): Promise<void> {
     const [runner] = bench.runners;
-    if (!runner) throw new Error('there is no upstream');
+    if (!runner) throw new Error('no upstream was started');
     const isNoted = (): boolean => bench.readOutput('agent-1').includes(describeRoom(tasks));
     runner.toldCpu = tasks * TASK_CPU;
-    await bench.waitFor(isNoted, 'that the executor knows the room');
+    await bench.waitFor(isNoted, 'that the executor has the new capacity');
   }
 
   function describeRoom(tasks: number): string {
     return `"capacity":{"cpuMilli":${tasks * TASK_CPU},`;
   }
 
-  /** Submits a wide job and counts the tasks that were at work at once. */
+  /** Submits a wide job and returns the most tasks that ran at the same time. */
   async function countAtOnce(job: string): Promise<number> {
     bench.maxRunning = 0;
     expect((await bench.submit('entry-1', job, WIDE, TASK_MS)).status).to.equal(200);
     return bench.maxRunning;
   }
 
-  it('gets no more than it has room for, and all that fits once it has grown again', async () => {
+  it('gets no more tasks than fit, and more after the capacity has grown again', async () => {
     await tellRoom(1);
     expect(await countAtOnce('shrunk')).to.equal(1);
     await tellRoom(3);
     expect(await countAtOnce('grown')).to.be.within(2, 3);
   });
 
-  // The kept report of the upstream told of the room that it had at first, and none comes before the start.
-  it('gets no more after its executor has started again', async () => {
+  // Guards against use of the initial capacity: the restarted executor has only the stored report.
+  it('gets no more tasks than fit after its executor has restarted', async () => {
     await tellRoom(1);
     await bench.waitFor(() => bench.store.keptValues.some((value) => value.includes(describeRoom(1))));
     for (const runner of bench.runners) runner.mute = true;
--- a/test/configurationLinks.test.ts
+++ b/test/configurationLinks.test.ts
@@ -1,4 +1,4 @@
-/** Large configurations over loopback, with the real classes of both sides: links that are thin, cut, or of old peers. */
+/** Transfer of large configurations over loopback links that are slow, broken, or to peers of the previous version. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { expect } from 'chai';
@@ -34,7 +34,7 @@
   return { version, routes: buildRoutes(ROUTES, version), limits: LIMITS };
 }
 
-/** What the links ask of the agent's decisions. */
+/** Creates a stub with the members of `Executor` that the links use. */
 function createCore(): Executor {
   const holding = { holding: [], results: [], entryLife: '', orphanMs: 1_000 };
   const hello = { type: 'agent-hello', agent: 'a1', life: '1', failureDomain: 'x', ...holding } as const;
@@ -54,14 +54,14 @@
   return core as unknown as Executor;
 }
 
-/** The side of a dispatcher: echoes pings, and says what it holds as the daemon does. */
+/** Dispatcher side of a link: answers pings and exchanges versions as the daemon does. */
 class Entry {
   readonly received: PeerMessage[] = [];
   exchange: OperatorExchange;
   hellos = 0;
-  /** Asks on each message as processes of the version before do: without a position. */
+  /** Whether it requests the whole configuration on each message, as the previous version does. */
   asksWhole = false;
-  /** Whether it answers as processes of the version before do: all of it at once, whatever is asked. */
+  /** Whether it sends the whole configuration at once, as the previous version does. */
   isOld = false;
   private readonly clock = new SteadyClock();
   private readonly listener = new PeerListener({
@@ -116,7 +116,7 @@
   let timer: NodeJS.Timeout;
   let logged: string[];
 
-  /** Opens an executor whose one link, of so many Mbit/s, passes a proxy. */
+  /** Opens an executor with one link of the given bandwidth, Mbit/s. */
   async function open(mbps: number): Promise<void> {
     logged = [];
     dispatcher = new Entry(mbps);
@@ -150,7 +150,7 @@
     return dispatcher.received.filter(({ type }) => type === 'configuration-request').length;
   }
 
-  it('is kept by an executor on a thin link, and given back to a dispatcher that has lost it', async () => {
+  it('is kept by an executor on a slow link, and returned to a dispatcher that has lost it', async () => {
     await open(2);
     dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => links.services?.has('service-of-7') ?? false);
@@ -165,7 +165,7 @@
     expect(logged).to.not.include('entry-unlinked');
   });
 
-  it('is fetched on after the link broke in the middle', async () => {
+  it('resumes after the link broke during the transfer', async () => {
     await open(2);
     dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => countRequests() > 5);
@@ -174,11 +174,11 @@
     await waitFor(() => links.keptVersion === 7);
     const [next] = dispatcher.received.filter(({ type }) => type === 'configuration-request').slice(before);
     expect(next).to.include({ version: 7 });
-    expect((next as { position: number }).position, 'what had come is kept').to.be.greaterThan(0);
+    expect((next as { position: number }).position, 'received pieces are kept').to.be.greaterThan(0);
     expect(logged).to.include('entry-unlinked');
   });
 
-  it('is fetched on after the link went silent in the middle', async () => {
+  it('resumes after the link became unresponsive during the transfer', async () => {
     await open(2);
     dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => countRequests() > 5);
@@ -187,7 +187,7 @@
     expect(dispatcher.hellos).to.equal(2);
   });
 
-  it('is superseded in the middle by a newer one', async () => {
+  it('is superseded by a newer one during the transfer', async () => {
     await open(2);
     dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => countRequests() > 5);
@@ -197,7 +197,7 @@
     expect(logged.filter((event) => event === 'configuration-kept')).to.have.length(1);
   });
 
-  it('is taken whole from a dispatcher of the version before, whose link is not given up meanwhile', async () => {
+  it('is accepted whole from a dispatcher of the previous version without closing its link', async () => {
     await open(4);
     dispatcher.isOld = true;
     dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
@@ -206,7 +206,7 @@
     expect(dispatcher.hellos).to.equal(1);
   });
 
-  it('is told whole to a dispatcher of the version before', async () => {
+  it('is sent whole to a dispatcher of the previous version', async () => {
     await open(17.5);
     dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => links.keptVersion === 7);
--- a/test/congestion.test.ts
+++ b/test/congestion.test.ts
@@ -5,15 +5,15 @@
 import type { SendWindow } from '../src/process/dispatcher/SendWindow.js';
 import type { CongestionScenario } from './fakes/CongestionModel.js';
 
-/** Time after which what is served is back, ms, and the share of what is asked that counts as back. */
+/** Time allowed for recovery, ms, and the share of completed jobs that counts as recovered. */
 const RECOVERY_MS = 2_000;
 const BACK_SHARE = 0.9;
 const SEED = 20261202;
 
-/** Links from those of a small VM to those that are never filled, texts from a few words to the longest. */
+/** Links from slow to never saturated, job texts from short to the longest allowed. */
 const RATES_MBPS = [0.5, 2, 10, 100];
 const BODIES = [40, 1_200, 16_000];
-/** Dispatchers have links of their own; with more of them more is drawn at random. */
+/** Numbers of dispatchers; each has its own link. */
 const DISPATCHERS = [1, 3, 35];
 
 function listPlays(createWindow: () => SendWindow): CongestionScenario[] {
@@ -30,7 +30,7 @@
 describe('dispatchers whose links were overloaded for a while', function () {
   this.timeout(120_000);
 
-  /** Plays after which less is served than the links carry. */
+  /** Lists the scenarios that do not recover. */
   function listDown(createWindow: () => SendWindow): string[] {
     return listPlays(createWindow).flatMap((scenario) => {
       const back = runCongestion(scenario).slice((TRIGGER_UNTIL_MS + RECOVERY_MS) / 1_000);
@@ -41,15 +41,15 @@
     });
   }
 
-  it('serve again what their links carry, two seconds after the overload', () => {
+  it('recover within two seconds after the overload', () => {
     expect(listDown(() => new DelayWindow())).to.deep.equal([]);
   });
 
-  it('do so too where only starts that expire tell of the overload', () => {
+  it('also recover when only expired starts indicate the overload', () => {
     expect(listDown(() => new LossWindow())).to.deep.equal([]);
   });
 
-  it('do not without a window, which the model must show', () => {
+  it('do not recover without a window, which validates the model', () => {
     expect(listDown(() => new OpenWindow())).to.have.length.greaterThan(5);
   });
 });
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -1,4 +1,4 @@
-/** Fuzz of everything that reads what comes from outside: no exception, no long stand, valid values round-trip. */
+/** Fuzz tests of the parsers of external input: no exceptions, bounded time, round trips of valid values. */
 import { expect } from 'chai';
 import * as fc from 'fast-check';
 
@@ -19,11 +19,11 @@
 import { fileURLToPath } from 'node:url';
 
 const ROOT = fileURLToPath(new URL('../../', import.meta.url));
-/** `FUZZ_RUNS` and `FUZZ_SEED` serve runs by hand; CI has fixed ones and times nothing. */
+/** `FUZZ_RUNS` and `FUZZ_SEED` are for manual runs; CI uses fixed values and measures no time. */
 const { FUZZ_RUNS, FUZZ_SEED } = process.env;
 const RUNS = Number(FUZZ_RUNS ?? 10_000);
 const SEED = Number(FUZZ_SEED ?? 18);
-/** Processor time that reading one input may take in runs by hand, ms; the largest inputs have some kilobytes. */
+/** Longest CPU time to parse one input in manual runs, ms. */
 const MAX_STAND_MS = 50;
 
 const JOB = {
@@ -47,7 +47,7 @@
   expiresAt: 4.5,
 };
 
-/** A value with one place changed to something else, or taken out. */
+/** Returns a value with one scalar replaced. */
 function mutate(value: unknown, at: number, to: unknown): unknown {
   const text = JSON.stringify(value);
   const places = [...text.matchAll(/(?<=:|\[|,)(?:"[^"]*"(?!:)|-?[0-9.]+|true|false|\{|\[)/g)];
@@ -93,14 +93,14 @@
   expect((user + system) / 1_000, text).to.be.lessThan(MAX_STAND_MS);
 }
 
-describe('what reads input from outside', function () {
+describe('parsers of external input', function () {
   this.timeout(300_000);
 
-  it('reads any text without an exception', () => {
+  it('parse any text without an exception', () => {
     fc.assert(fc.property(ANYTHING, readInTime), { numRuns: RUNS, seed: SEED });
   });
 
-  it('reads changed and cut inputs without an exception', () => {
+  it('parse mutated and truncated inputs without an exception', () => {
     const valid = fc.constantFrom<unknown>(JOB, HEARTBEAT, CONFIGURATION, START);
     const property = fc.property(valid, fc.nat(60), ODD, fc.nat(400), (value, at, to, cut) => {
       const text = JSON.stringify(mutate(value, at, to));
@@ -110,7 +110,7 @@
     fc.assert(property, { numRuns: RUNS, seed: SEED });
   });
 
-  it('reads cut and flipped records of the log with a RangeError at most', () => {
+  it('throw only RangeErrors for truncated and corrupted log records', () => {
     const property = fc.property(fc.string(), fc.string(), fc.nat(80), fc.nat(255), (key, text, at, byte) => {
       const record = buildLogRecord(key.slice(0, 20), text);
       const body = Buffer.concat([Buffer.alloc(16), record]);
@@ -126,7 +126,7 @@
     fc.assert(property, { numRuns: RUNS, seed: SEED });
   });
 
-  it('reads valid values as they were written', () => {
+  it('parse valid values as they were written', () => {
     const job = parseJob(JSON.stringify(JOB));
     expect(job).to.deep.include({ kind: 'job', spec: 'text' });
     expect(job.kind === 'job' && job.steps.map(({ count, after }) => [count, after])).to.deep.equal([
@@ -143,27 +143,27 @@
     expect(parsePeerMessage(JSON.stringify(START)).message).to.deep.equal(START);
   });
 
-  it('keeps the other routes of a configuration when one is wrong, and says where', () => {
+  it('keep the valid routes of a configuration and report the invalid one', () => {
     const routes = [ROUTE, { ...ROUTE, priority: 'high' }, { ...ROUTE, name: 'later' }];
     const { configuration, findings } = parseConfiguration(JSON.stringify({ ...CONFIGURATION, routes }));
     expect(configuration?.routes.map(({ name }) => name)).to.deep.equal(['r', 'later']);
     expect(findings.map(({ pointer }) => pointer)).to.deep.equal(['/routes/1/priority']);
   });
 
-  it('passes over messages that only newer versions know, and fields that are new', () => {
+  it('ignore messages and fields of newer versions', () => {
     expect(parsePeerMessage('{"type":"later"}')).to.deep.equal({ message: undefined, problem: '' });
     expect(parsePeerMessage(JSON.stringify({ ...START, extra: 1 })).problem).to.equal('');
     expect(parsePeerMessage(JSON.stringify({ ...START, rank: 'x' })).problem).to.include('/rank');
     expect(Object.keys(PEER_SCHEMAS)).to.have.length(20);
   });
 
-  it('names every finding in settings', () => {
+  it('report every finding in settings', () => {
     const check = checkDispatchSettings({ id: 'a b', address: '', linkPort: 0 });
     const pointers = check.ok ? [] : check.findings.map(({ pointer }) => pointer);
     expect(pointers).to.have.members(['/id', '/address', '/linkPort']);
   });
 
-  it('is generated from the schemas as they are', async () => {
+  it('match the validators that are generated from the schemas', async () => {
     for (const { file, text } of await buildValidatorModules()) {
       expect(await readFile(path.join(ROOT, file), 'utf8'), file).to.equal(text);
     }
--- a/test/dispatchPromises.test.ts
+++ b/test/dispatchPromises.test.ts
@@ -10,21 +10,21 @@
 } from './fakes/dispatchCommands.js';
 import { runDispatchSimulation } from './fakes/runDispatchSimulation.js';
 
-/** Runs in CI; `npm run soak -- --core dispatch` does more. */
+/** Runs in CI; `npm run soak -- --core dispatch` runs more. */
 const RUNS = 40;
 const SEED = 20261202;
-/** Seeds of runs with suspended VMs are a range of their own, from here on. */
+/** First seed of runs with suspended VMs. */
 const SUSPENSION_SEED = 50_000_001;
-/** And those of runs in which room changes. */
+/** First seed of runs with capacity changes. */
 const ROOM_SEED = 51_000_001;
-/** Seeds of runs that broke a promise, and as many runs as it takes. */
+/** Seeds that violated an invariant, with the number of runs to reproduce it. */
 const RESTART_SEEDS = [
   { seed: 100_014, runs: 170 },
   { seed: 700_004, runs: 190 },
   { seed: 800_004, runs: 160 },
 ];
 
-describe('the promises of dispatchers and agents, under random failures', function () {
+describe('invariants of dispatchers and executors under random faults', function () {
   this.timeout(300_000);
 
   it('hold', async () => {
@@ -33,48 +33,47 @@
     expect(totals['interrupted']).to.be.greaterThan(0);
   });
 
-  it('hold when connections go silent for good, and words of earlier lives come late', async () => {
+  it('hold when connections become unresponsive and messages of earlier incarnations are delayed', async () => {
     const totals = await runDispatchSimulation(lateReportCommands, SEED, RUNS, false);
     expect(totals['completed']).to.be.greaterThan(0);
     expect(totals['interrupted']).to.be.greaterThan(0);
   });
 
-  it('hold when failure domains are emptied and taken back', async () => {
+  it('hold when failure domains are emptied and restored', async () => {
     const totals = await runDispatchSimulation(domainCommands, SEED, RUNS, false);
     expect(totals['completed']).to.be.greaterThan(0);
     expect(totals['refused']).to.be.greaterThan(0);
   });
 
-  it('hold when upstreams start again under their id', async () => {
+  it('hold when upstreams restart under the same id', async () => {
     const totals = await runDispatchSimulation(restartCommands, SEED, RUNS, false, true);
     expect(totals['completed']).to.be.greaterThan(0);
     expect(totals['interrupted']).to.be.greaterThan(0);
   });
 
-  it('hold when VMs are suspended, and their time of day is set', async () => {
+  it('hold when VMs are suspended and their time of day is stepped', async () => {
     const totals = await runDispatchSimulation(suspensionCommands, SUSPENSION_SEED, RUNS, false);
     expect(totals['completed']).to.be.greaterThan(0);
     expect(totals['interrupted']).to.be.greaterThan(0);
   });
 
-  it('hold when the room of upstreams shrinks and grows', async () => {
+  it('hold when the capacity of upstreams changes', async () => {
     const totals = await runDispatchSimulation(capacityCommands, ROOM_SEED, RUNS, false);
     expect(totals['completed']).to.be.greaterThan(0);
     expect(totals['interrupted']).to.be.greaterThan(0);
   });
 
-  // Each seed showed a fault of the change to a session a life: a start beyond the room of a next life (the 165th run), and
-  // a task beside its second start (the 186th and the 155th), as a call of the earlier session had given a longer lease.
+  // Guards against a start beyond the capacity of a restarted upstream, and against two concurrent runs of a task after a
+  // late call of the earlier session extended its lease.
   for (const { seed, runs } of RESTART_SEEDS) {
-    it(`hold when upstreams start again under their id, seed ${seed}`, async () => {
+    it(`hold when upstreams restart under the same id, seed ${seed}`, async () => {
       const totals = await runDispatchSimulation(restartCommands, seed, runs, false, true);
       expect(totals['completed']).to.be.greaterThan(0);
     });
   }
 
-  // The 62nd run of this seed kills an entry that is frozen and was to hear of a domain: the runs had its dead life tell the
-  // next one an older list.
-  it('hold when an entry dies before it hears of a domain', async () => {
+  // Guards against a killed dispatcher passing an outdated list of emptied domains to its next incarnation.
+  it('hold when a dispatcher is killed before it receives an emptied domain, seed 5004', async () => {
     const totals = await runDispatchSimulation(domainCommands, 5_004, 70, false);
     expect(totals['completed']).to.be.greaterThan(0);
   });
--- a/test/evacuation.test.ts
+++ b/test/evacuation.test.ts
@@ -1,18 +1,18 @@
-/** Real dispatchers and executors, and failure domains that the operator has emptied. Nothing depends on speed. */
+/** Emptied failure domains with real dispatchers and executors. No assertion depends on speed. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { expect } from 'chai';
 
 import { PlatformBench } from './fakes/PlatformBench.js';
 
-/** As long as callers wait here: a busy machine must not make a refusal rightful. */
+/** High enough that a dispatcher on a slow VM refuses no job, ms. */
 const TARGET_LATENCY_MS = 20_000;
-/** Time from the operator's word on, after which nothing may start there, ms; from the users' rules. */
+/** Time after an evacuation from which no task may start in the domain, ms. */
 const EVACUATE_MS = 5_000;
-/** Tasks of a job that fills both runners of a failure domain; each of them takes four. */
+/** Tasks that fill both runners of a failure domain; each runner takes four. */
 const WIDE = 8;
 
-describe('dispatchers and executors, while a failure domain is emptied,', function () {
+describe('dispatchers and executors with an emptied failure domain', function () {
   this.timeout(120_000);
   let bench: PlatformBench;
 
@@ -27,7 +27,7 @@
     expect(bench.doubled).to.deep.equal([]);
   });
 
-  /** Starts in `north` so far. */
+  /** Counts the starts in `north`. */
   function countNorth(): number {
     return (bench.startsByRunner.get('i-1') ?? 0) + (bench.startsByRunner.get('i-2') ?? 0);
   }
@@ -39,12 +39,12 @@
     for (const id of ids) {
       await bench.waitFor(
         () => bench.readOutput(id).includes('"emptied":["north"]'),
-        `that ${id} knows of it`,
+        `that ${id} has the emptied domain`,
       );
     }
   }
 
-  it('start nothing there from five seconds after the operator has asked for it', async () => {
+  it('start no task there five seconds after the evacuation', async () => {
     bench.store.putEvacuation('north');
     await sleep(EVACUATE_MS);
     const before = countNorth();
@@ -55,7 +55,7 @@
     expect(countNorth() - before).to.equal(0);
   });
 
-  it('start nothing there, and answer jobs with what is left', async () => {
+  it('start no task there, and complete jobs in other domains', async () => {
     await emptyNorth();
     const answers = await Promise.all(
       Array.from({ length: 12 }, (_, at) => bench.submit(`entry-${1 + (at % 2)}`, `job${at}`, 2, 30)),
@@ -64,7 +64,7 @@
     expect(countNorth()).to.equal(0);
   });
 
-  it('let what runs there run on to its end, and answer the job whole', async () => {
+  it('let running tasks there finish, and complete the job', async () => {
     const open = bench.submit('entry-1', 'open', 2 * WIDE, 1_500);
     await bench.waitFor(() => bench.starts.size === 2 * WIDE);
     await emptyNorth();
@@ -73,7 +73,7 @@
     expect(countNorth()).to.equal(WIDE);
   });
 
-  it('start there again once it is taken back', async () => {
+  it('start tasks there again once it is restored', async () => {
     await emptyNorth();
     bench.store.dropEvacuation('north');
     await bench.waitFor(() => bench.readOutput('entry-1').includes('"emptied":[]'));
@@ -83,7 +83,7 @@
     expect(countNorth()).to.be.greaterThan(0);
   });
 
-  it('start nothing there after all of them were started again', async () => {
+  it('start no task there after a restart of the processes', async () => {
     await emptyNorth();
     for (const id of ['entry-1', 'entry-2', 'agent-1', 'agent-2']) {
       bench.signal(id, 'SIGKILL');
@@ -96,7 +96,7 @@
     expect(countNorth()).to.equal(0);
   });
 
-  it('learn it of executors where the store has forgotten how to answer', async () => {
+  it('receive it from executors while the store is unresponsive', async () => {
     await emptyNorth();
     bench.store.fault = 'silent';
     bench.signal('entry-1', 'SIGKILL');
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -1,4 +1,4 @@
-/** The walk of docs/OPERATIONS.md on logs of real processes. */
+/** Explains jobs from the logs of real processes, as docs/OPERATIONS.md describes. */
 import { expect } from 'chai';
 
 import { explainJob, parseLogLine } from '../src/process/explain/explainJob.js';
@@ -31,7 +31,7 @@
     await waitForCause('refused', /^refused: no agent had free capacity/);
   });
 
-  it('names the loss of an agent', async () => {
+  it('names the loss of an executor', async () => {
     await bench.waitUntilIdle();
     const lost = bench.submit('entry-1', 'lost', 8, 1_200);
     await bench.waitFor(
--- a/test/faultSoak.test.ts
+++ b/test/faultSoak.test.ts
@@ -1,20 +1,20 @@
-/** A short run of the soak of real processes; the long ones are played by `npm run soak -- --core processes`. */
+/** Short soak test of real processes; `npm run soak -- --core processes` runs longer ones. */
 import { expect } from 'chai';
 
 import { FaultSoak } from './fakes/FaultSoak.js';
 import { ALL_KINDS, DOMAIN_KINDS, EARLIER_KINDS, RESTART_KINDS } from './fakes/soakFaults.js';
 
-/** Runs without silent connections, with them, with failure domains that are emptied, and upstreams that start again. */
+/** Runs with increasing sets of faults: basic, unresponsive connections, emptied domains, restarted upstreams. */
 const RUNS = [
   { seed: 1, kinds: EARLIER_KINDS },
   { seed: 1_001, kinds: ALL_KINDS },
   { seed: 2_001, kinds: DOMAIN_KINDS },
   { seed: 3_001, kinds: RESTART_KINDS },
 ];
-/** More than any machine takes to come back: no verdict depends on speed. */
+/** Longer than recovery takes on a slow VM, so that no result depends on speed. */
 const ENOUGH_MS = 120_000;
 
-describe('the promises of processes, under faults from outside', function () {
+describe('invariants of processes under external faults', function () {
   this.timeout(300_000);
 
   for (const { seed, kinds } of RUNS) {
--- a/test/foreignWriters.test.ts
+++ b/test/foreignWriters.test.ts
@@ -1,6 +1,6 @@
 /**
- * Heartbeats and records come from other writers too: fields missing or of another type, a state or service that is not
- * known here, bytes that cannot be read. They name no upstream to use, and everything else holds.
+ * Heartbeats and records of foreign writers: missing fields, wrong types, unknown states or services, invalid bytes. They
+ * must add no upstream and must not disturb valid ones.
  */
 import { expect } from 'chai';
 
@@ -14,7 +14,7 @@
 import { HEARTBEAT } from './fakes/upstreamFixtures.js';
 import { StoreStandin } from '../standins/protocol/StoreStandin.js';
 
-/** Fields without which a heartbeat names no upstream. */
+/** Required fields of a heartbeat. */
 const NEEDED = [
   'service',
   'address',
@@ -26,19 +26,19 @@
   'labels',
   'cold_remaining_ms',
 ];
-/** Numbers that a heartbeat counts by; a missing one would pass for the first. */
+/** Required numbers of a heartbeat; a missing one must not count as 0. */
 const COUNTED = ['clock_ms', 'call_seq'];
-/** A loopback address of this process alone, so that no other one holds the port. */
+/** Loopback address of this process, so that no other process uses the port. */
 const CONTROL = `127.41.${process.pid % 250}.1:8166`;
-/** Of another type than any field has. */
+/** Value of a type that no field has. */
 const ODD = { odd: true };
 /** Not UTF-8. */
 const UNREADABLE = Buffer.from([0x7b, 0x22, 0xff, 0xfe, 0x22, 0x3a, 0x31, 0x7d]);
 
-describe('what other writers send and keep', function () {
+describe('foreign writers', function () {
   this.timeout(60_000);
 
-  describe('as heartbeats', () => {
+  describe('that send heartbeats', () => {
     let registry: HttpUpstreamRegistry;
     let reports: UpstreamReport[];
     let left: string[];
@@ -66,7 +66,7 @@
       return status;
     }
 
-    it('name no upstream', async () => {
+    it('add no upstream', async () => {
       const bodies: (Buffer | string)[] = [UNREADABLE, Buffer.from([0]), '', 'null', '[]', '{', '"ready"'];
       for (const field of [...NEEDED, ...COUNTED]) {
         bodies.push(JSON.stringify({ ...HEARTBEAT, [field]: undefined }));
@@ -94,7 +94,7 @@
     });
   });
 
-  describe('to an executor whose upstream is at work', () => {
+  describe('that send heartbeats to an executor with a working upstream', () => {
     const WIDE = 8;
     let bench: PlatformBench;
 
@@ -105,13 +105,13 @@
 
     afterEach(() => bench.stop());
 
-    it('leaves that upstream in use', async () => {
+    it('leave that upstream in use', async () => {
       const later = { ...HEARTBEAT, call_seq: 1_000_000, address: '127.0.0.1:9' };
       const nobody = { ...later, service: 'nobody' };
       await bench.waitFor(async () => {
         await bench.sendHeartbeat('agent-1', 'i-9', nobody);
         return bench.readOutput('agent-1').includes('of an unknown service');
-      }, 'that the executor knows the services of queues');
+      }, 'that the executor has the services of queues');
       const bodies = [
         nobody,
         { ...later, service: 'service', state: 'paused' },
@@ -131,7 +131,7 @@
     });
   });
 
-  describe('on the store', () => {
+  describe('that write to the store', () => {
     let store: StoreStandin;
     let address: string;
 
@@ -142,7 +142,7 @@
 
     afterEach(() => store.stop());
 
-    it('beside the records of the operators, changes nothing', async () => {
+    it('do not affect valid records of the operators', async () => {
       store.putConfiguration({ version: 3, routes: [] });
       store.putEvacuation('north');
       store.strangeItems.push(null, {}, { key: 5, value: '' }, { key: 'evacuate/west', value: 7 });
@@ -183,7 +183,7 @@
       }
     });
 
-    it('beside a report that is kept there, leaves it as it was', async () => {
+    it('do not affect a stored report', async () => {
       const reportStore = new LogUpstreamReportStore(address, 1);
       const report: UpstreamReport = {
         id: 'i-1',
--- a/test/hangUp.test.ts
+++ b/test/hangUp.test.ts
@@ -1,4 +1,4 @@
-/** A daemon outlives `SIGHUP` from its first line on. */
+/** Guards against a `SIGHUP` ending a daemon that is still loading. */
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
@@ -21,7 +21,7 @@
   this.timeout(60_000);
 
   for (const binary of ['serve.js', 'marblehall.js']) {
-    it(`outlives SIGHUP (${binary})`, async () => {
+    it(`survives SIGHUP (${binary})`, async () => {
       expect((await findExit(binary)).signal).to.equal(null);
     });
   }
--- a/test/hostileCallers.test.ts
+++ b/test/hostileCallers.test.ts
@@ -1,4 +1,4 @@
-/** What callers may send to a real dispatcher without harm to it or to the jobs of others. */
+/** Invalid and abusive requests must not harm a real dispatcher or other jobs. */
 import type { Socket } from 'node:net';
 
 import { expect } from 'chai';
@@ -6,16 +6,16 @@
 import { PlatformBench } from './fakes/PlatformBench.js';
 
 const TARGET_LATENCY_MS = 20_000;
-/** Callers that the dispatcher of the last tests takes at once. */
+/** Connection limit of the dispatcher in the last tests. */
 const MAX_CONNECTIONS = 50;
-/** Work of the job that is open meanwhile, ms. */
+/** Duration of the job that is open meanwhile, ms. */
 const VICTIM_MS = 600;
 
 interface HostileBody {
   readonly title: string;
   readonly body: unknown;
   readonly status: number;
-  /** Pointer of a finding in the answer. */
+  /** Expected pointer of a finding in the answer. */
   readonly pointer: string;
 }
 
@@ -99,7 +99,7 @@
   });
 
   for (const { title, body, status, pointer } of BODIES) {
-    it(`refuses ${title}, says where it is wrong, and serves the others`, async () => {
+    it(`refuses ${title}, reports its position, and serves other jobs`, async () => {
       const victim = bench.submit('entry-1', `victim-${title.length}-${pointer.length}`, 1, VICTIM_MS);
       const whole = { best_effort: true, ...(body as object) };
       const answer = await bench.post('entry-1', '/q/hostile', whole, 3_000);
@@ -112,7 +112,7 @@
     });
   }
 
-  it('closes a connection that says nothing, one whose header never ends, and one whose body never does', async () => {
+  it('closes idle connections, and those with an incomplete header or body', async () => {
     bench.putConfiguration(['/q/'], { header_timeout_ms: 400, idle_timeout_ms: 400 });
     await bench.waitFor(async () => {
       const slow = [
@@ -130,7 +130,7 @@
   });
 });
 
-describe('a dispatcher with more callers than it takes', function () {
+describe('a dispatcher at its connection limit', function () {
   this.timeout(120_000);
   let bench: PlatformBench;
 
@@ -144,14 +144,14 @@
     await bench.stop();
   });
 
-  it('closes those beyond its bound at once, and serves again when the idle ones have timed out', async () => {
+  it('closes connections beyond its limit at once, and serves again when idle ones have timed out', async () => {
     bench.putConfiguration(['/q/'], { header_timeout_ms: 400, idle_timeout_ms: 400 });
     const open = Array.from({ length: 4 * MAX_CONNECTIONS }, () => bench.openCaller('entry-1', ''));
     await Promise.all(open.map((socket) => waitForClose(socket)));
     expect((await bench.submit('entry-1', 'later', 1, 30)).body).to.equal('{"state":"completed"}');
   });
 
-  it('refuses a job beyond the bound of open ones, and says when to come again', async () => {
+  it('refuses a job beyond the limit of open jobs with a retry-after header', async () => {
     bench.signal('entry-1', 'SIGKILL');
     await bench.waitForExit('entry-1');
     bench.extraSettings = { maxOpenJobs: 1 };
--- a/test/largeConfigurations.test.ts
+++ b/test/largeConfigurations.test.ts
@@ -1,8 +1,6 @@
 /**
- * How a change of a configuration of up to 5,000 routes delays the other messages on thin and wide links, on virtual time.
- *
- * The pattern is a feedback loop: where every executor is sent all of it at once, echoes wait behind it, links count as
- * silent and are dialed anew, and each new link asks once more.
+ * Delay of other messages by a change of a large configuration, on virtual time. Guards against a feedback loop: pongs
+ * wait behind the configuration, links are closed as unresponsive, and each new link requests the configuration again.
  */
 import { expect } from 'chai';
 
@@ -10,9 +8,9 @@
 import type { ConfigurationScenario } from './fakes/ConfigurationModel.js';
 
 const CHANGE_MS = 1_000;
-/** Starts and echoes may be late by so much more for a change of the configuration, ms. */
+/** Longest additional delay of starts and pongs by a configuration change, ms. */
 const LATE_MS = 50;
-/** Time in which executors know the services of a version, ms: some pings. */
+/** Time within which executors must have the services of a version, ms. */
 const SERVICES_MS = 2_000;
 const RATES_MBPS = [2, 17.5, 1_000];
 const ROUTES = [10, 1_500, 5_000];
@@ -28,7 +26,7 @@
 
   for (const scenario of PLAYS) {
     const { mbps, routes, executors } = scenario;
-    it(`with ${routes} routes on links of ${mbps} Mbit/s makes nothing late for ${executors} executors`, () => {
+    it(`with ${routes} routes on links of ${mbps} Mbit/s delays no other message for ${executors} executors`, () => {
       const quiet = runConfigurationChange({ ...scenario, changes: [], untilMs: 10_000 });
       const { lateMs, servicesMs, wholeMs } = runConfigurationChange(scenario);
       expect(lateMs - quiet.lateMs, 'late').to.be.at.most(LATE_MS);
--- a/test/operatorUpdates.test.ts
+++ b/test/operatorUpdates.test.ts
@@ -1,4 +1,4 @@
-/** What the operators write, as read from a stand-in of the platform's store. */
+/** Reads configurations and evacuations from a stand-in of the platform's store. */
 import { expect } from 'chai';
 
 import { LogConfigurationSource } from '../platform/LogConfigurationSource.js';
@@ -8,7 +8,7 @@
 
 const LOOK_MS = 10;
 
-describe('the reader of what the operators write', function () {
+describe('the reader of operator records', function () {
   this.timeout(20_000);
   let store: StoreStandin;
   let source: LogConfigurationSource;
@@ -53,7 +53,7 @@
     await waitFor(() => exchange.emptied?.domains.join() === list);
   }
 
-  it('knows what was written before it came, also without a configuration', async () => {
+  it('reads records that were written before its start, also without a configuration', async () => {
     store.putEvacuation('north');
     store.putEvacuation('south');
     store.dropEvacuation('south');
@@ -64,7 +64,7 @@
     await waitFor(() => exchange.configuration?.version === 3);
   });
 
-  it('hears of each change, two of one domain in a row among them', async () => {
+  it('receives each change, also two successive ones of one domain', async () => {
     start();
     await waitForList('');
     store.putEvacuation('north');
@@ -74,7 +74,7 @@
     expect(lists.filter((list) => list.includes('north'))).to.have.length(1);
   });
 
-  it('reads on after its history was dropped, and what was taken back meanwhile is taken back', async () => {
+  it('continues after the history was dropped, and applies removals of the meantime', async () => {
     store.putEvacuation('north');
     start();
     await waitForList('north');
@@ -86,7 +86,7 @@
     await waitForList('south');
   });
 
-  it('keeps what it knows while the store is silent, and hears what was written meanwhile', async () => {
+  it('keeps its state while the store is unresponsive, and reads later records afterwards', async () => {
     store.putEvacuation('north');
     start();
     await waitForList('north');
@@ -98,7 +98,7 @@
     await waitForList('north,south');
   });
 
-  it('passes over what is no evacuation, and says so', async () => {
+  it('ignores and reports invalid evacuations', async () => {
     store.putConfiguration({ version: 3 });
     store.putEvacuation('east', '[]');
     store.putEvacuation('west', '{');
@@ -116,7 +116,7 @@
     await waitForList('north');
   });
 
-  it('takes a hundred of them', async () => {
+  it('handles a hundred evacuations', async () => {
     for (let at = 0; at < 100; at += 1) store.putEvacuation(`domain-${at}`);
     start();
     await waitFor(() => exchange.emptied?.domains.length === 100);
@@ -124,7 +124,7 @@
     await waitForList('');
   });
 
-  it('hears of a change that its reads are told nothing of', async () => {
+  it('detects a change that incremental reads miss', async () => {
     store.putConfiguration({ version: 3 });
     start();
     await waitFor(() => exchange.configuration?.version === 3);
@@ -135,7 +135,7 @@
     expect(exchange.configuration?.version).to.equal(9);
   });
 
-  it('reads nothing whole while nothing is written', async () => {
+  it('does no full read while nothing is written', async () => {
     store.putConfiguration({ version: 3, routes: [{ name: 'wrong' }] });
     start();
     await waitFor(() => exchange.configuration?.version === 3);
@@ -143,7 +143,7 @@
     expect([store.wholeReads, rejected.length]).to.deep.equal([1, 1]);
   });
 
-  it('reads a configuration once, also when all records are read again', async () => {
+  it('parses a configuration once, also when all records are read again', async () => {
     store.putConfiguration({ version: 3, routes: [{ name: 'wrong' }] });
     start();
     await waitFor(() => exchange.configuration?.version === 3);
@@ -153,7 +153,7 @@
     expect([store.wholeReads, rejected.length]).to.deep.equal([2, 1]);
   });
 
-  it('takes the routes that are right of a large configuration that comes slowly, and says where others are wrong', async () => {
+  it('accepts the valid routes of a large configuration over a slow link, and reports the invalid ones', async () => {
     store.bytesPerMs = 250;
     const routes = buildRoutes(1_500, 3).map(({ name, host, pathPrefix, service }, at) => {
       return { name, host, path_prefix: pathPrefix, service: at % 500 === 7 ? 7 : service };
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -1,16 +1,13 @@
-/** Real dispatchers and executors against stand-ins that speak the platform's protocol. Nothing depends on speed. */
+/** Real dispatchers and executors with stand-ins of the platform's protocol. No assertion depends on speed. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { expect } from 'chai';
 
 import { PlatformBench } from './fakes/PlatformBench.js';
 
-/** Time that a caller keeps before it submits a job again elsewhere, ms. */
+/** Delay before a caller submits a job again elsewhere, ms. */
 const RESUBMIT_MS = 1_300;
-/**
- * Time that queues allow beyond the work, ms: as long as callers wait here. With less, an entry rightly refuses 30 ms
- * of work that a busy machine cannot begin within 300 ms, and a test of it would depend on speed.
- */
+/** High enough that a dispatcher on a slow VM refuses no job, ms. */
 const TARGET_LATENCY_MS = 20_000;
 
 describe('dispatchers and executors as processes', function () {
@@ -38,7 +35,7 @@
     expect([...bench.starts.values()].filter((count) => count !== 1)).to.deep.equal([]);
   });
 
-  it('refuse what they do not serve, and say where there is no queue', async () => {
+  it('refuse unsupported jobs, and answer 404 where there is no queue', async () => {
     const kept = await bench.post('entry-1', '/q/kept', { spec: '', steps: [{ count: 1, cpu: 1 }] });
     expect([kept.status, kept.retryAfter]).to.deep.equal([503, '1']);
     expect((await bench.get('entry-1', '/none/')).status).to.equal(404);
@@ -47,7 +44,7 @@
     expect(bench.starts.size).to.equal(0);
   });
 
-  it('answer every open job before an entry stops, and outlive SIGHUP', async () => {
+  it('answer every open job before a dispatcher stops, and survive SIGHUP', async () => {
     const open = bench.submit('entry-1', 'open', 4, 800);
     await bench.waitFor(() => bench.atWork.size > 0);
     bench.signal('entry-1', 'SIGHUP');
@@ -58,7 +55,7 @@
     expect(bench.isRunning('entry-2')).to.equal(true);
   });
 
-  it('finish what runs before an agent stops, and place elsewhere meanwhile', async () => {
+  it('finish running tasks before an executor stops, and place new ones elsewhere', async () => {
     const open = bench.submit('entry-1', 'open', 12, 300);
     await bench.waitFor(() => bench.starts.size === 12);
     bench.signal('agent-1', 'SIGTERM');
@@ -68,7 +65,7 @@
     expect([...bench.starts.values()].filter((count) => count !== 1)).to.deep.equal([]);
   });
 
-  it('run the tasks of a killed agent again, never two runs at once', async () => {
+  it('run the tasks of a killed executor again, never two runs at the same time', async () => {
     const open = bench.submit('entry-1', 'open', 12, 1_500);
     await bench.waitFor(() => bench.starts.size === 12);
     bench.signal('agent-1', 'SIGKILL');
@@ -76,7 +73,7 @@
     expect([...bench.starts.values()].filter((count) => count > 1).length).to.be.greaterThan(0);
   });
 
-  it('run nothing on for a frozen entry whose caller goes elsewhere, also when it wakes up', async () => {
+  it('stop tasks of a frozen dispatcher whose caller has left, also after it resumes', async () => {
     const caller = new AbortController();
     void bench.submit('entry-1', 'moved', 6, 4_000, 20_000, caller.signal);
     await bench.waitFor(() => bench.starts.size === 6);
@@ -89,7 +86,7 @@
     expect((await again).body).to.equal('{"state":"completed"}');
   });
 
-  it('give up the jobs of an entry that stood still for longer than its agents wait', async () => {
+  it('interrupt the jobs of a dispatcher that was frozen for longer than the orphan timeout', async () => {
     const open = bench.submit('entry-1', 'open', 6, 4_000);
     await bench.waitFor(() => bench.starts.size === 6);
     bench.signal('entry-1', 'SIGSTOP');
@@ -98,13 +95,13 @@
     expect((await open).status).to.equal(504);
   });
 
-  it('start no task twice when a runner does not answer its orders', async () => {
+  it('start no task twice when a runner does not answer orders', async () => {
     for (const runner of bench.runners) runner.muteStarts = 3;
     expect((await bench.submit('entry-1', 'muted', 8, 300)).body).to.equal('{"state":"completed"}');
     expect([...bench.starts.values()].filter((count) => count !== 1)).to.deep.equal([]);
   });
 
-  it('stop what a caller has left, though its work was expected to be done by then', async () => {
+  it('stop abandoned tasks also after their estimated end', async () => {
     const step = { count: 4, cpu: 1_000, mem_mb: 10, estimate_ms: 10 };
     const body = { spec: '60000', steps: [step], best_effort: true };
     const left = bench.post('entry-1', '/q/left', body, 3_000);
@@ -113,13 +110,13 @@
     await bench.waitUntilIdle();
   });
 
-  it('refuse at once, and never start, what takes longer than its caller waits', async () => {
+  it('refuse at once, and never start, a job that takes longer than its caller waits', async () => {
     const refused = await bench.submit('entry-1', 'too-long', 4, 60_000, 3_000);
     expect([refused.status, refused.retryAfter]).to.deep.equal([503, '1']);
     expect(bench.starts.size).to.equal(0);
   });
 
-  it('give a restarted entry the configuration while the store is out', async () => {
+  it('send the configuration to a restarted dispatcher while the store is unavailable', async () => {
     bench.store.fault = 'busy';
     bench.signal('entry-1', 'SIGKILL');
     await bench.waitForExit('entry-1');
@@ -128,7 +125,7 @@
     expect((await bench.submit('entry-1', 'after', 4, 30)).status).to.equal(200);
   });
 
-  it('give all entries, restarted at once while the store is out, a large configuration', async () => {
+  it('send a large configuration to all dispatchers that restart while the store is unavailable', async () => {
     const prefixes = Array.from({ length: 1_500 }, (_, at) => `/many/${at}/`);
     bench.putConfiguration(['/q/', ...prefixes]);
     const executors = ['agent-1', 'agent-2', 'agent-3'];
@@ -137,7 +134,7 @@
         .readOutput(executor)
         .split('\n')
         .some((line) => line.includes('"configuration-kept"') && line.includes(`"version":${bench.version}`));
-    await bench.waitFor(() => executors.every(isKept), 'a kept text');
+    await bench.waitFor(() => executors.every(isKept), 'that every executor has kept the configuration');
     bench.store.fault = 'busy';
     for (const dispatcher of ['entry-1', 'entry-2']) bench.signal(dispatcher, 'SIGKILL');
     for (const dispatcher of ['entry-1', 'entry-2']) {
@@ -151,7 +148,7 @@
     expect((await bench.submit('entry-1', 'after', 4, 30)).status).to.equal(200);
   });
 
-  it('use the upstream of a restarted agent before it reports itself again', async () => {
+  it('use the upstream of a restarted executor before its next report', async () => {
     await bench.waitFor(() => bench.store.countKeys() === 3);
     for (const runner of bench.runners) runner.mute = true;
     for (const executor of ['agent-1', 'agent-2', 'agent-3']) {
@@ -165,7 +162,7 @@
     );
   });
 
-  it('follow the configuration over resets, silence and a forgotten history', async () => {
+  it('follow the configuration after resets, an unresponsive store and a dropped history', async () => {
     for (const [fault, prefix] of [
       ['reset', '/r/'],
       ['silent', '/s/'],
--- a/test/poisonTasks.test.ts
+++ b/test/poisonTasks.test.ts
@@ -8,14 +8,14 @@
 const LIMIT = 2;
 const PLAY: CrashScenario = { seed: 1, crashLimit: LIMIT, upstreams: 18, domains: 3, dispatchers: 3 };
 const SEEDS = [1, 2, 3, 4, 5];
-/** Jobs beside those that crash upstreams; each has two tasks. */
+/** Number of harmless jobs; each has two tasks. */
 const OTHERS = 100;
-/** A new job is submitted so often, ms; time in which all end, with what callers submit again. */
+/** Interval between submissions, and time for all jobs to end, ms. */
 const PACE_MS = 10;
 const REST_MS = 16_000;
 const TASK_MS = 200;
 
-/** Submits ordinary jobs in the pace, and jobs with a poison task among them. */
+/** Submits harmless jobs at a fixed rate, and jobs with a poison task among them. */
 function playJobs(model: CrashModel, poisons: number, act?: (now: number) => void): ModelJob[] {
   const every = Math.floor(OTHERS / Math.max(1, poisons));
   const poisoned: ModelJob[] = [];
@@ -45,7 +45,7 @@
   this.timeout(120_000);
 
   for (const seed of SEEDS) {
-    it(`take down a crowded one and ${LIMIT} more, and the others end, seed ${seed}`, () => {
+    it(`crash one shared upstream and at most ${LIMIT} more, and other jobs complete, seed ${seed}`, () => {
       const model = new CrashModel({ ...PLAY, seed });
       const [job] = playJobs(model, 1);
       expect(job?.outcome).to.equal('failed');
@@ -53,7 +53,7 @@
       expect(countOutcomes(listInnocent(model))).to.deep.equal({ completed: OTHERS });
     });
 
-    it(`are started three times at most after three crashes, though entries and agents die, seed ${seed}`, () => {
+    it(`are started at most three times after three crashes despite process restarts, seed ${seed}`, () => {
       const model = new CrashModel({ ...PLAY, seed });
       const nextRandom = createRandom(seed);
       const poisoned = playJobs(model, 3, (now) => {
@@ -64,7 +64,7 @@
       expect(countOutcomes(listInnocent(model))['failed'] ?? 0).to.equal(0);
     });
 
-    it(`are told from those at upstreams that flap, seed ${seed}`, () => {
+    it(`are distinguished from tasks at upstreams that crash by themselves, seed ${seed}`, () => {
       const model = new CrashModel({ ...PLAY, seed });
       playJobs(model, 0, (now) => {
         if (now < 8_000 && now % 1_000 === 0)
@@ -74,7 +74,7 @@
     });
 
     for (const domain of ['d1', undefined]) {
-      it(`are not looked for when ${domain ?? 'everything'} loses its upstreams at once, seed ${seed}`, () => {
+      it(`are not suspected when all upstreams of ${domain ?? 'all domains'} crash, seed ${seed}`, () => {
         const model = new CrashModel({ ...PLAY, seed });
         playJobs(model, 0, (now) => {
           if (now === 500 || now === 4_500) model.crashDomain(domain);
@@ -85,14 +85,14 @@
     }
   }
 
-  it('take one upstream after another down while crashes are not counted', () => {
+  it('crash upstreams without limit while crashes are not counted', () => {
     const model = new CrashModel({ ...PLAY, crashLimit: 0 });
     const [job] = playJobs(model, 1);
     expect(job?.outcome).to.equal(undefined);
     expect(job?.crashes).to.be.greaterThan(6);
   });
 
-  it('are known at the next entry that their callers come to', () => {
+  it('stay suspected at the next dispatcher of their callers', () => {
     const model = new CrashModel({ ...PLAY, crashLimit: 1 });
     const job = model.submit(1, TASK_MS, 0);
     model.advance(1_000);
@@ -102,8 +102,8 @@
   });
 
   for (const keepsIds of [false, true]) {
-    const name = keepsIds ? 'under the id that they had' : 'under new ids';
-    it(`are found by executors and dispatchers, though upstreams come back ${name}`, async () => {
+    const name = keepsIds ? 'under the same id' : 'under new ids';
+    it(`are detected by executors and dispatchers when upstreams restart ${name}`, async () => {
       const simulation = new DispatchSimulation(3, keepsIds, LIMIT);
       await simulation.advance(200);
       const crashedAt = simulation.submitPoison(0, 100, 12_000);
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -1,4 +1,4 @@
-/** The promises on real processes; starts are counted by the stand-in upstreams. No assertion depends on time. */
+/** Invariants of real processes; the stand-in upstreams count starts. No assertion depends on speed. */
 import { expect } from 'chai';
 import { request } from 'undici';
 
@@ -41,7 +41,7 @@
     expect([...starts].filter(([, count]) => count > 1)).to.deep.equal([]);
   });
 
-  it('answer every job whole while an agent and an entry stop as planned', async () => {
+  it('answer every job completely while an agent and an entry stop as planned', async () => {
     const jobs = Array.from({ length: 60 }, (_, number) => buildJob(`planned-${number}`, 1 + (number % 20)));
     const urls = cluster.entryUrls;
     const answers = jobs.map((job, first) => submitUntilAnswered(job, urls, { ...PATIENCE, first }));
@@ -56,7 +56,7 @@
     for (const one of outcomes) expect(one).to.deep.equal({ outcome: 'complete', submissions: 1 });
   });
 
-  it('give a caller who lost its connection the same answer through the other entry', async () => {
+  it('return the same answer through the other entry to a caller that lost its connection', async () => {
     const job = buildJob('cut', 6, 300);
     const cut = new AbortController();
     const first = request(`${cluster.url('entry-1')}/v1/jobs`, {
@@ -72,7 +72,7 @@
     expect((await cluster.readStarts()).size).to.equal(6);
   });
 
-  it('take over the job of a killed entry, with one start a task', async () => {
+  it('take over the job of a killed entry with one start per task', async () => {
     const job = buildJob('killed', 8, 400);
     const lost = submitUntilAnswered(job, [cluster.url('entry-1')], {
       first: 0,
@@ -86,7 +86,7 @@
     expect(again.outcome).to.equal('complete');
   });
 
-  it('take over the job of a frozen entry, which can start nothing when it wakes up', async () => {
+  it('take over the job of a frozen entry, which starts nothing after it resumes', async () => {
     const wide = buildJob('frozen', 120, 200);
     const frozen = submitUntilAnswered(wide, [cluster.url('entry-1')], {
       first: 0,
@@ -102,7 +102,7 @@
     expect((await cluster.readStarts()).size).to.equal(120);
   });
 
-  it('serve jobs while the log is out, and give a command whose answer was lost one effect', async () => {
+  it('serve jobs while the log is unavailable, and apply a command whose answer was lost once', async () => {
     await cluster.setFaults('platform', { down: true });
     const answers = Array.from({ length: 20 }, (_, number) => {
       return submitUntilAnswered(buildJob(`outage-${number}`, 3), cluster.entryUrls, {
@@ -122,7 +122,7 @@
     expect(rows.map(({ version }) => version)).to.deep.equal([body['version']]);
   });
 
-  it("turn an upstream's garbage into that task's failure, and a cut connection into a failed job", async () => {
+  it('report an invalid upstream answer as a failed task, and a broken connection as a failed job', async () => {
     for (const id of cluster.ids('upstream')) await cluster.setFaults(id, { garbage: 1 });
     const garbage = await request(`${cluster.url('entry-1')}/v1/jobs`, {
       method: 'POST',
--- a/test/promises.test.ts
+++ b/test/promises.test.ts
@@ -3,7 +3,7 @@
 import { FakeWorld } from './fakes/FakeWorld.js';
 import { runOvertaking, RUN_AGENTS, RUN_ENTRIES, worldCommands } from './fakes/worldCommands.js';
 
-/** Runs of each group in CI; `npm run soak` does more. */
+/** Runs of each group in CI; `npm run soak` runs more. */
 const RUNS = 60;
 const SEED = 20261202;
 
@@ -13,23 +13,22 @@
     fc.modelRun(() => ({ model: { commands: 0 }, real: world }), commands);
     world.settle();
   });
-  // The seed and path of a failure are printed at once; `npm run soak` shrinks it.
+  // Prints seed and path of a failure without shrinking; `npm run soak` shrinks it.
   fc.assert(property, { numRuns: RUNS, seed, endOnFailure: true });
 }
 
-describe('the promises, under random failures', () => {
-  it('hold over links that only break', () => {
+describe('invariants under random faults', () => {
+  it('hold with links that only break', () => {
     checkPromises({ drop: 0, repeat: 0, late: 0 }, SEED);
   });
 
-  it('hold over links that drop, repeat, delay and reorder', () => {
+  it('hold with links that drop, repeat, delay and reorder messages', () => {
     checkPromises({ drop: 0.02, repeat: 0.02, late: 0.05 }, SEED + 1);
   });
 
-  // Found by seed 8 of the long runs. Most of the registrars are in a failure domain that is cut off, and there an entry
-  // goes on to claim by their word. An entry on the other side removed all of them from the log by a majority that it had
-  // heard before the cut, and claimed the same keys: a task was started on both sides.
-  it('hold when a failure domain is cut off that holds most registrars', () => {
+  // Guards against a split brain: a task was started on both sides after an entry outside the partition had removed the
+  // registrars inside it by a majority from before the partition.
+  it('hold when a failure domain with most registrars is partitioned', () => {
     const faults = { drop: 0.1, repeat: 0.05, late: 0.2 };
     const world = new FakeWorld({ seed: -1073741820, entries: RUN_ENTRIES, agents: RUN_AGENTS, faults });
     for (const agent of ['agent-4', 'agent-3', 'agent-0']) world.leave(agent);
--- a/test/restartedUpstreams.test.ts
+++ b/test/restartedUpstreams.test.ts
@@ -1,10 +1,6 @@
 /**
- * An upstream that had crashed and started again under its id said that it leaves; its executor acknowledged that and
- * went on starting tasks there for seconds. Tasks that had ended there were run again elsewhere.
- *
- * The executor took the newer life for the earlier one, as both had one id: the reports of the newer one, whose numbers
- * begin anew, passed for late ones, and its ends for ends that had been noted. The log of the day showed one session
- * for both lives and no change of its state, and a line for reports that are passed over named the numbers.
+ * Guards against an executor that treats a restarted upstream with the same id as its earlier incarnation: it ignored the
+ * reports and task ends of the new one as outdated, started tasks at a draining upstream and repeated ended tasks.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -12,16 +8,16 @@
 
 import { PlatformBench } from './fakes/PlatformBench.js';
 
-/** As long as callers wait here: a busy machine must not make a refusal rightful. */
+/** High enough that a dispatcher on a slow VM refuses no job, ms. */
 const TARGET_LATENCY_MS = 20_000;
-/** Reports of the earlier life: so many of the newer one would have to come before its numbers are higher. */
+/** Reports of the earlier incarnation, so that its sequence is ahead of the new one. */
 const EARLIER_REPORTS = 12;
-/** Time after a report has been acknowledged in which dispatchers hear of it; many times what it takes, ms. */
+/** Time for an acknowledged report to reach the dispatchers, ms. */
 const HEARD_MS = 600;
-/** Tasks that fill the other upstream, and more. */
+/** More tasks than fit the other upstream. */
 const WIDE = 6;
 
-describe('an upstream that starts again under its id', function () {
+describe('an upstream that restarts under the same id', function () {
   this.timeout(120_000);
   let bench: PlatformBench;
 
@@ -36,7 +32,7 @@
     expect(bench.beyondCapacity).to.deep.equal([]);
   });
 
-  /** Ends the first upstream and starts it again, and waits until both upstreams take work. */
+  /** Restarts the first upstream and waits until both upstreams accept tasks. */
   async function restartFirst(): Promise<void> {
     await bench.runners[0]?.restart(200);
     const before = bench.startsByRunner.get('i-1') ?? 0;
@@ -46,11 +42,11 @@
     }
   }
 
-  it('gets nothing more once it has said that it leaves', async () => {
+  it('gets no task after it has reported that it drains', async () => {
     await bench.waitFor(() => (bench.runners[0]?.beats ?? 0) >= EARLIER_REPORTS);
     await restartFirst();
     const [runner] = bench.runners;
-    if (!runner) throw new Error('there is no upstream');
+    if (!runner) throw new Error('no upstream was started');
     runner.state = 'draining';
     const reports = runner.beats;
     await bench.waitFor(() => runner.beats > reports);
@@ -60,7 +56,7 @@
     expect(bench.startsByRunner.get('i-1')).to.equal(before);
   });
 
-  it('has what ends there taken for ended', async () => {
+  it('has the ends of its tasks accepted', async () => {
     for (let round = 0; round < 5; round += 1) await bench.submit('entry-1', `earlier${round}`, WIDE, 20);
     await restartFirst();
     bench.starts.clear();
--- a/test/scarceCapacity.test.ts
+++ b/test/scarceCapacity.test.ts
@@ -1,4 +1,4 @@
-/** Who is served when callers ask for more than the room: the product's dispatcher in `ScarceRoomModel`, on virtual time. */
+/** Compares policies of the dispatcher under overload in `ScarceCapacityModel`, on virtual time. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 
@@ -10,12 +10,12 @@
 import { evaluateJob, LOADS, ScarceCapacityModel } from './fakes/ScarceCapacityModel.js';
 import type { ScarceCapacityJob, ScarceCapacityRun } from './fakes/ScarceCapacityModel.js';
 
-/** Of the random loads, so that a run that fails is there again. */
+/** Seed of the random loads. */
 const SEED = 20261203;
 const SEEDS = [1, 2, 3, 4];
-/** One play's service differs by so much from the next one's in calm times and under light overload. */
+/** Variation between runs at normal load and under light overload. */
 const NOISE = 0.01;
-/** Jobs refused at their first look have waited for less than this, ms. */
+/** Longest wait of a job that is refused immediately, ms. */
 const AT_ONCE_MS = 20;
 
 const TODAY: Partial<ScarceCapacityRun> = {};
@@ -35,11 +35,11 @@
 
 function playLoad(name: string, policies: Partial<ScarceCapacityRun>): ServiceSummary {
   const load = LOADS[name];
-  if (!load) throw new Error(`there is no load ${name}`);
+  if (!load) throw new Error(`unknown load: ${name}`);
   return countService(play(load, policies));
 }
 
-/** Jobs of each verdict that arrived in a stretch of time. */
+/** Counts the jobs that arrived in an interval by verdict. */
 function countVerdicts(
   jobs: readonly ScarceCapacityJob[],
   fromMs: number,
@@ -65,15 +65,15 @@
 describe('fair order and forecast admission', function () {
   this.timeout(30_000);
 
-  it('refuse nobody in calm times, and serve all in time', () => {
+  it('refuse no job at normal load, and complete all in time', () => {
     const { total, refusedAtOnce, refusedLater } = playLoad('calm', NEW);
     expect(total).to.be.at.least(1 - NOISE);
     expect(refusedAtOnce + refusedLater).to.equal(0);
   });
 
-  // Patterns: one queue floods the room; a part of the upstreams is slow while two queues burst.
+  // One queue floods the capacity, or a third of the upstreams is slow during two bursts.
   for (const name of ['flood', 'slow third']) {
-    it(`serve more in all, and of the worst queue, under ${name}`, () => {
+    it(`serve more in total and of the worst queue under ${name}`, () => {
       const [today, now] = [playLoad(name, TODAY), playLoad(name, NEW)];
       expect(now.total).to.be.above(today.total);
       expect(now.worstQueue).to.be.above(today.worstQueue);
@@ -81,7 +81,7 @@
     });
   }
 
-  it('serve more of the worst queue when half of the room is lost under bursts', () => {
+  it('serve more of the worst queue when half of the capacity is lost during bursts', () => {
     expect(playLoad('room lost', NEW).worstQueue).to.be.above(playLoad('room lost', TODAY).worstQueue);
   });
 
@@ -92,12 +92,12 @@
   }
 
   for (const name of Object.keys(LOADS)) {
-    it(`are worth no less to the users under ${name} than before, but for noise`, () => {
+    it(`are worth no less under ${name} than the default policies, apart from noise`, () => {
       expect(playLoad(name, NEW).worth).to.be.at.least(playLoad(name, TODAY).worth - NOISE);
     });
   }
 
-  it('leave no room idle while a task waits that fits', () => {
+  it('leave no capacity idle while a fitting task waits', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 0, max: 1_000 }),
@@ -111,11 +111,8 @@
     );
   });
 
-  /**
-   * A refusal changes what runs when, so the runs are compared by the work that is in time, which is what the room
-   * holds. Tolerance: a fiftieth, as one large job's work is of what the room does in such a run.
-   */
-  it('refuse no more than would not have been in time', () => {
+  // A refusal changes the schedule, so the runs are compared by their work in time, with a tolerance of one large job.
+  it('refuse no more work than would have been late', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 0, max: 1_000 }),
@@ -132,8 +129,8 @@
     );
   });
 
-  // Pattern: a failure domain loses its power, or is emptied, in the middle of a burst.
-  it('go on serving in the room that is left when agents vanish or are emptied', () => {
+  // A failure domain fails or is emptied during a burst.
+  it('continue with the remaining capacity when executors fail or are emptied', () => {
     const burst = { queue: 'large', fromMs: 1_000, untilMs: 5_000, factor: 2.3 };
     const base = { lengthMs: 8_000, bursts: [burst] };
     const outage = { executors: 3, fromMs: 2_000, untilMs: 4_000 };
@@ -145,8 +142,8 @@
     }
   });
 
-  // Pattern: all power is lost for 1.5 s; callers come at once, the room 0.5 s later.
-  it('keep who can still be in time when all room comes back, and are calm a second later', () => {
+  // All executors fail for 1.5 s while callers continue to submit.
+  it('keep jobs that can still be in time when all capacity returns, and are normal two seconds later', () => {
     const outage = { executors: 6, fromMs: 3_000, untilMs: 4_500 };
     const jobs = play({ lengthMs: 8_000, bursts: [], outage }, NEW);
     const back = countVerdicts(jobs, 4_400, 4_500);
--- a/test/silentConnections.test.ts
+++ b/test/silentConnections.test.ts
@@ -1,10 +1,6 @@
 /**
- * Open connections went silent for good, without a reset, while new ones worked; most of what was running was stopped
- * or came late, until connections were dialed anew.
- *
- * An executor noticed a silent link by a fixed time that was longer than the one after which it stops what the
- * dispatcher has running there, and the calls to an upstream met one silent connection of the pool after another. The
- * same work without silence, and the logs of links and calls while there was silence, told it from slow processes.
+ * Guards against open connections that become unresponsive without a reset while new ones work: an executor must replace
+ * such a link before the orphan timeout, and calls to an upstream must not use one dead pooled connection after another.
  */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
@@ -17,18 +13,15 @@
 import { PlatformBench } from './fakes/PlatformBench.js';
 
 const HOST = '127.0.0.1';
-/**
- * Longer than callers wait, so that all that is derived from it leaves a busy machine time: executors stop what a
- * dispatcher has running there after 0.4 of it, and must have dialed the dispatcher anew by then.
- */
+/** Resubmit delay, ms; long, as executors must reconnect within 0.4 of it also on a slow VM. */
 const RESUBMIT_MS = 3_500;
-/** Time that queues allow beyond the work, ms. */
+/** Target latency of the queues, ms. */
 const TARGET_LATENCY_MS = 20_000;
 const TASKS = 6;
-/** Longer than it takes to stop what a silent dispatcher has running. */
+/** Longer than the orphan timeout, ms. */
 const TASK_MS = 4_000;
 
-describe('when open connections go silent', function () {
+describe('when open connections become unresponsive', function () {
   this.timeout(120_000);
 
   describe('dispatchers and executors', () => {
@@ -45,7 +38,7 @@
       expect(bench.doubled).to.deep.equal([]);
     });
 
-    it('go on with what runs, and tell its ends on new links', async () => {
+    it('continue running tasks, and report their ends on new links', async () => {
       const open = bench.submit('entry-1', 'open', TASKS, TASK_MS);
       await bench.waitFor(() => bench.starts.size === TASKS);
       bench.proxies.get('entry-1')?.silenceConnections();
@@ -54,7 +47,7 @@
       expect([...bench.starts.values()].filter((count) => count !== 1)).to.deep.equal([]);
     });
 
-    it('go on with what runs at upstreams, and start more there', async () => {
+    it('continue running tasks at upstreams, and start more there', async () => {
       const open = bench.submit('entry-1', 'open', TASKS, TASK_MS);
       await bench.waitFor(() => bench.starts.size === TASKS);
       for (const runner of ['runner-1', 'runner-2', 'runner-3'])
@@ -65,7 +58,7 @@
       expect([...bench.starts.values()].filter((count) => count !== 1)).to.deep.equal([]);
     });
 
-    it('hear of a new configuration from the store', async () => {
+    it('receive a new configuration from the store', async () => {
       bench.proxies.get('store')?.silenceConnections();
       bench.putConfiguration(['/q/', '/r/']);
       for (const dispatcher of ['entry-1', 'entry-2']) {
@@ -73,7 +66,7 @@
       }
     });
 
-    it('find all of them silent at once, and serve again', async () => {
+    it('recover when all connections become unresponsive at the same time', async () => {
       const served = await bench.submit('entry-1', 'before', TASKS, 30);
       expect(served.status).to.equal(200);
       for (let round = 0; round < 3; round += 1) {
@@ -92,7 +85,7 @@
     let server: Server;
     let proxy: LoopbackProxy;
     let pool: HttpConnectionPool;
-    /** Whether answers wait, so that calls need connections of their own. */
+    /** Whether answers are delayed, so that each call needs its own connection. */
     let answersWait: boolean;
     let waiting: (() => void)[];
 
@@ -122,7 +115,7 @@
       return pool.call({ method: 'POST', path: '/', body: '{}', timeoutMs: TIMEOUT_MS });
     }
 
-    it('lose one call, however many connections were kept', async () => {
+    it('lose only one call, however many connections were pooled', async () => {
       await Promise.all(Array.from({ length: CALLS }, () => call()));
       answersWait = false;
       proxy.silenceConnections();
--- a/test/suspendedVms.test.ts
+++ b/test/suspendedVms.test.ts
@@ -1,6 +1,6 @@
 /**
- * VMs that are suspended for seconds: the steady clock does not count that time, but everyone else goes on meanwhile.
- * Other processes take a suspended one for dead, so on waking it must hold to nothing that it knew before.
+ * VMs that are suspended for seconds, which the steady clock does not count. Other processes treat a suspended process as
+ * dead, so it must not act on earlier state after a resume.
  */
 import { expect } from 'chai';
 
@@ -30,11 +30,11 @@
   let upstream: FakeUpstream;
   let core: Executor;
   let results: string[];
-  /** Lease of the upstream when the newest end was told. */
+  /** Lease of the upstream when the latest end was reported. */
   let leaseAtEnd: number;
   let logged: string[];
 
-  /** Creates an executor that an entry has proved itself to, with its upstream on the same VM or on another. */
+  /** Creates an executor with a live dispatcher, and its upstream on the same VM or on another. */
   async function createCore(isUpstreamThere: boolean): Promise<void> {
     upstream = new FakeUpstream(
       isUpstreamThere ? { now: () => vm.readSteady(), sleep: (ms) => vm.sleep(ms) } : simulation,
@@ -62,7 +62,7 @@
     core.handleWelcome(ENTRY, vm.now());
   }
 
-  /** Suspends the VM, and goes on until it has just woken. */
+  /** Suspends the VM and advances until just before its resume. */
   async function suspend(): Promise<void> {
     vm.suspend(SUSPENDED_MS);
     await simulation.advance(SUSPENDED_MS - 1);
@@ -87,8 +87,8 @@
 
   afterEach(() => core.close());
 
-  // The start was sent before; its dispatcher has counted it as over meanwhile and started the task elsewhere.
-  it('does not start what has waited in its socket', async () => {
+  // The dispatcher has treated the start as expired meanwhile and started the task elsewhere.
+  it('does not apply an expired start from its socket', async () => {
     await createCore(false);
     const order = buildStartOrder(0, { expiresAt: vm.now() + START_EXPIRY_MS });
     await suspend();
@@ -98,8 +98,8 @@
     expect([results, upstream.starts]).to.deep.equal([['0 not-run expired'], 0]);
   });
 
-  // The echo is from before, and its dispatcher may have ended its jobs since: no order of it can be new.
-  it('takes no order from a dispatcher that has not echoed since', async () => {
+  // The last pong is from before the suspension, and the dispatcher may have ended its jobs since.
+  it('accepts no start from a dispatcher without a pong since the resume', async () => {
     await createCore(false);
     await suspend();
     await simulation.advance(1);
@@ -108,8 +108,8 @@
     expect([results, upstream.starts]).to.deep.equal([['0 not-run entry-unproven'], 0]);
   });
 
-  // The upstream was suspended too, so its leases have not run out. The task runs elsewhere by now.
-  it('stops what it ran on waking, before any lease is renewed', async () => {
+  // The upstream was suspended too, so its leases are still valid, but the task runs elsewhere by now.
+  it('stops its tasks after a resume before any lease is renewed', async () => {
     await createCore(true);
     core.handleStart(ENTRY, buildStartOrder(0));
     await simulation.advance(100);
@@ -120,8 +120,8 @@
     expect(leaseAtEnd).to.equal(leaseUntil);
   });
 
-  // A repeated start gives a near lease again, so its task would begin seconds after it was counted as over.
-  it('does not repeat an unanswered start on waking, whenever it was suspended', async () => {
+  // A repeated start grants a new lease, so the task would start seconds after it was treated as ended.
+  it('does not repeat an unanswered start after a resume, whenever it was suspended', async () => {
     for (let offsetMs = 5; offsetMs <= 300; offsetMs += 5) {
       await createCore(true);
       upstream.fates.push('lost', 'lost', 'lost', 'lost');
@@ -135,8 +135,8 @@
     }
   });
 
-  // The first ping after waking may be echoed before the next look at proofs: the echo is good for new orders only.
-  it('stops what ran before also for a dispatcher that echoes at once', async () => {
+  // A pong before the next liveness check is valid for new starts only.
+  it('stops earlier tasks also for a dispatcher that answers a ping at once', async () => {
     await createCore(true);
     core.handleStart(ENTRY, buildStartOrder(0));
     await simulation.advance(100);
@@ -147,8 +147,8 @@
     expect(results).to.deep.equal(['0 stopped entry-silent']);
   });
 
-  // A start gives a lease to all that runs there, so an order of one dispatcher would prolong what another had ordered.
-  it('stops what ran for a silent dispatcher before it starts a task of another', async () => {
+  // A start renews the lease of all tasks, so a start of one dispatcher would extend tasks of another.
+  it('stops tasks of an unresponsive dispatcher before it starts a task of another', async () => {
     await createCore(true);
     core.handleStart(OTHER_ENTRY, buildStartOrder(0));
     core.handleWelcome(OTHER_ENTRY, vm.now());
@@ -163,8 +163,8 @@
     expect([...upstream.running.keys()]).to.deep.equal(['job/0/2']);
   });
 
-  // Between two looks at proofs, without any suspension: an order must not prolong what should have been stopped.
-  it('stops what ran for a silent dispatcher also when an order comes before the next look', async () => {
+  // Between two liveness checks, without a suspension, a start must not extend tasks that are due to be stopped.
+  it('stops tasks of an unresponsive dispatcher also when a start arrives before the next liveness check', async () => {
     await createCore(true);
     core.handleWelcome(OTHER_ENTRY, vm.now());
     core.handleStart(OTHER_ENTRY, buildStartOrder(1));
@@ -177,9 +177,9 @@
     expect(logged).to.include('entry-silent');
   });
 
-  // The upstream's leases stand still where it is suspended as well, and run out meanwhile where it is not.
+  // Leases of a suspended upstream do not expire during the suspension; those of another upstream do.
   for (const isUpstreamThere of [true, false]) {
-    it(`takes what ran for lost only once it cannot run, upstream ${isUpstreamThere ? 'there' : 'elsewhere'}`, async () => {
+    it(`reports tasks as lost only once they cannot run, upstream on ${isUpstreamThere ? 'the same' : 'another'} VM`, async () => {
       for (let offsetMs = 5; offsetMs <= 700; offsetMs += 35) {
         await createCore(isUpstreamThere);
         results.length = 0;
@@ -196,7 +196,7 @@
     });
   }
 
-  it('takes fencing tokens that rise over it', async () => {
+  it('takes increasing fencing tokens across a suspension', async () => {
     await createCore(false);
     const tokens = new FencingTokens(1_000_000, vm);
     const before = tokens.take();
@@ -205,8 +205,8 @@
     expect(tokens.take()).to.be.greaterThan(before);
   });
 
-  // Agents have stopped its tasks meanwhile, and callers may have gone to other dispatchers.
-  it('ends the open jobs of its dispatcher', async () => {
+  // Executors have stopped its tasks meanwhile, and callers may have moved to other dispatchers.
+  it('interrupts the open jobs of its dispatcher', async () => {
     await createCore(false);
     const caller = new FakeCaller();
     const dispatcher = new Dispatcher(
