--- /dev/null
+++ b/test/capacityByDemand.test.ts
@@ -0,0 +1,125 @@
+import { expect } from 'chai';
+
+import { CapacityModel } from './fakes/CapacityModel.js';
+import type { CapacityCounts, CapacityScenario } from './fakes/CapacityModel.js';
+
+const SEED = 20261203;
+const TRANSIT_MS = 1;
+/** Peak load as a share of the capacity. */
+const PEAK = 0.95;
+/** Largest share of rejected starts at the peak. */
+const RETURNED = 0.03;
+/** Largest share of jobs that may be late or lost in addition to those with `open` sharing. */
+const ROUND_TRIP_LOSS = 0.06;
+
+async function play(change: Partial<CapacityScenario>): Promise<CapacityCounts> {
+  const base = { load: PEAK, transitMs: TRANSIT_MS, seed: SEED, durationMs: 5_000, countFromMs: 1_500 };
+  return new CapacityModel({ ...base, sharing: 'demand', ...change }).run();
+}
+
+function readReturned({ full, starts }: CapacityCounts): number {
+  return full / starts;
+}
+
+function readInTime({ inTime, submitted }: CapacityCounts): number {
+  return inTime / submitted;
+}
+
+describe('dispatchers that compete for the capacity of executors', function () {
+  this.timeout(120_000);
+
+  let open: CapacityCounts;
+  let divided: CapacityCounts;
+
+  before(async () => {
+    open = await play({ sharing: 'open' });
+    divided = await play({});
+  });
+
+  it('have over 12% of their starts rejected with `open`', () => {
+    expect(readReturned(open)).to.be.greaterThan(0.12);
+  });
+
+  it('have few starts rejected when capacity is divided by demand, with transit times from 0.5 to 3 ms', async () => {
+    for (const transitMs of [0.5, TRANSIT_MS, 3]) {
+      const count = transitMs === TRANSIT_MS ? divided : await play({ transitMs });
+      expect(readReturned(count), `${transitMs} ms`).to.be.lessThan(RETURNED);
+    }
+  });
+
+  it('serve at most 6 points fewer jobs in time than with `open`', () => {
+    expect(readInTime(divided)).to.be.greaterThan(readInTime(open) - ROUND_TRIP_LOSS);
+    expect(divided.completed / divided.submitted).to.be.greaterThan(0.96);
+  });
+
+  it('leave little capacity unused while tasks wait', () => {
+    const { idleWhileWaiting, steps } = divided;
+    expect(idleWhileWaiting / steps).to.be.lessThan(0.06);
+  });
+
+  it('serve as many jobs in time as with `open` at half load', async () => {
+    const today = await play({ sharing: 'open', load: 0.5 });
+    expect(readInTime(await play({ load: 0.5 }))).to.be.greaterThan(readInTime(today) - 0.01);
+  });
+
+  it('get the same result as with `open` when they report no demand', async () => {
+    const earlier = await play({ earlierDispatchers: 8 });
+    expect(earlier.full).to.equal(open.full);
+    expect(earlier.completed).to.equal(open.completed);
+  });
+});
+
+describe('capacity that was reported to a dispatcher', function () {
+  this.timeout(120_000);
+
+  /** Time after a failure until the capacity of the dispatcher is free again, and one ping interval, ms. */
+  const BACK_MS = 700;
+  const FAILS_AT = 2_000;
+
+  /** Returns the share of capacity that is idle while tasks wait, after the recovery time. */
+  async function measureIdle(run: (model: CapacityModel) => void): Promise<number> {
+    const events = [{ at: FAILS_AT, run }];
+    const { idleWhileWaiting, steps } = await play({ events, countFromMs: FAILS_AT + BACK_MS, load: 1 });
+    return idleWhileWaiting / steps;
+  }
+
+  const failures: [string, (model: CapacityModel) => void][] = [
+    [
+      'dies',
+      ({ dispatchers, executors }) => executors.forEach((executor) => endEntry(dispatchers[0], executor)),
+    ],
+    ['freezes', ({ dispatchers: [first] }) => first && (first.state = 'frozen')],
+    ['is cut off', ({ dispatchers: [first] }) => first && (first.isCut = true)],
+  ];
+
+  function endEntry(
+    dispatcher: CapacityModel['dispatchers'][number] | undefined,
+    executor: CapacityModel['executors'][number],
+  ): void {
+    if (!dispatcher) return;
+    dispatcher.state = 'dead';
+    executor.unlink(dispatcher);
+  }
+
+  for (const [what, run] of failures) {
+    it(`is used by others when the busiest ${what}`, async () => {
+      expect(await measureIdle(run)).to.be.lessThan(0.08);
+    });
+  }
+
+  it('is used when executors restart, shrink or are emptied', async () => {
+    const idle = await measureIdle((model) => {
+      model.executors[0]?.end();
+      model.addExecutor(0, 2);
+      model.executors[1]?.report({ cpuMilli: 5_000, memoryMb: 65_536, gpus: 0 });
+      for (const { index } of model.dispatchers) model.dispatchers[index]?.core.setEmptied(['b']);
+      for (const executor of model.executors) if (executor.domain === 'b') executor.setEmptied();
+    });
+    expect(idle).to.be.lessThan(0.08);
+  });
+
+  it('causes few rejected starts when demand is 1.5 times the capacity', async () => {
+    const count = await play({ load: 1.5, countFromMs: 500, durationMs: 4_000 });
+    expect(readReturned(count)).to.be.lessThan(RETURNED);
+  });
+});
--- a/test/configurationLinks.test.ts
+++ b/test/configurationLinks.test.ts
@@ -1,4 +1,4 @@
-/** Large configurations over loopback, with the real classes of both sides: links that are thin, cut, or of old peers. */
+/** Transfer of large configurations over loopback links that are slow, broken, or to peers of the previous version. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { expect } from 'chai';
@@ -34,7 +34,7 @@
   return { version, routes: buildRoutes(ROUTES, version), limits: LIMITS };
 }
 
-/** What the links ask of the agent's decisions. */
+/** Creates a stub with the members of `Executor` that the links use. */
 function createCore(): Executor {
   const holding = { holding: [], results: [], entryLife: '', orphanMs: 1_000 };
   const hello = { type: 'agent-hello', agent: 'a1', life: '1', failureDomain: 'x', ...holding } as const;
@@ -54,14 +54,14 @@
   return core as unknown as Executor;
 }
 
-/** The side of a dispatcher: echoes pings, and says what it holds as the daemon does. */
+/** Dispatcher side of a link: answers pings and exchanges versions as the daemon does. */
 class Entry {
   readonly received: PeerMessage[] = [];
   exchange: OperatorExchange;
   hellos = 0;
-  /** Asks on each message as processes of the version before do: without a position. */
+  /** Whether it requests the whole configuration on each message, as the previous version does. */
   asksWhole = false;
-  /** Whether it answers as processes of the version before do: all of it at once, whatever is asked. */
+  /** Whether it sends the whole configuration at once, as the previous version does. */
   isOld = false;
   private readonly clock = new SteadyClock();
   private readonly listener = new PeerListener({
@@ -110,17 +110,17 @@
 
 describe('a large configuration on real links', function () {
   this.timeout(60_000);
-  let entry: Entry;
+  let dispatcher: Entry;
   let proxy: LoopbackProxy;
   let links: DispatcherLinks;
   let timer: NodeJS.Timeout;
   let logged: string[];
 
-  /** Opens an executor whose one link, of so many Mbit/s, passes a proxy. */
+  /** Opens an executor with one link of the given bandwidth, Mbit/s. */
   async function open(mbps: number): Promise<void> {
     logged = [];
-    entry = new Entry(mbps);
-    proxy = new LoopbackProxy(HOST, 0, HOST, await entry.start(0));
+    dispatcher = new Entry(mbps);
+    proxy = new LoopbackProxy(HOST, 0, HOST, await dispatcher.start(0));
     proxy.setRate(mbps);
     const linkPort = await proxy.start();
     const fleet = { maxLinks: 3, smallFleet: 6, linkPort };
@@ -132,14 +132,14 @@
       links.sendDuePings();
       links.updateLinks();
     }, PING_MS / 3);
-    await waitFor(() => entry.received.some(({ type }) => type === 'ping'));
+    await waitFor(() => dispatcher.received.some(({ type }) => type === 'ping'));
   }
 
   afterEach(async () => {
     clearInterval(timer);
     links.stop();
     proxy.stop();
-    await entry.stop();
+    await dispatcher.stop();
   });
 
   async function waitFor(holds: () => boolean): Promise<void> {
@@ -147,72 +147,72 @@
   }
 
   function countRequests(): number {
-    return entry.received.filter(({ type }) => type === 'configuration-request').length;
+    return dispatcher.received.filter(({ type }) => type === 'configuration-request').length;
   }
 
-  it('is kept by an executor on a thin link, and given back to a dispatcher that has lost it', async () => {
+  it('is kept by an executor on a slow link, and returned to a dispatcher that has lost it', async () => {
     await open(2);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => links.services?.has('service-of-7') ?? false);
     expect(links.keptVersion).to.equal(-1);
     await waitFor(() => links.keptVersion === 7);
     expect(logged).to.not.include('entry-unlinked');
     expect(logged).to.include.members(['services-known', 'configuration-kept']);
     const { exchange } = new Entry(2);
-    entry.exchange = exchange;
+    dispatcher.exchange = exchange;
     await waitFor(() => exchange.configuration?.version === 7);
     expect(exchange.configuration).to.deep.equal(createConfiguration(7));
     expect(logged).to.not.include('entry-unlinked');
   });
 
-  it('is fetched on after the link broke in the middle', async () => {
+  it('resumes after the link broke during the transfer', async () => {
     await open(2);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => countRequests() > 5);
     const before = countRequests();
     proxy.resetAll();
     await waitFor(() => links.keptVersion === 7);
-    const [next] = entry.received.filter(({ type }) => type === 'configuration-request').slice(before);
+    const [next] = dispatcher.received.filter(({ type }) => type === 'configuration-request').slice(before);
     expect(next).to.include({ version: 7 });
-    expect((next as { position: number }).position, 'what had come is kept').to.be.greaterThan(0);
+    expect((next as { position: number }).position, 'received pieces are kept').to.be.greaterThan(0);
     expect(logged).to.include('entry-unlinked');
   });
 
-  it('is fetched on after the link went silent in the middle', async () => {
+  it('resumes after the link became unresponsive during the transfer', async () => {
     await open(2);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => countRequests() > 5);
-    proxy.silenceOpen();
+    proxy.silenceConnections();
     await waitFor(() => links.keptVersion === 7);
-    expect(entry.hellos).to.equal(2);
+    expect(dispatcher.hellos).to.equal(2);
   });
 
-  it('is superseded in the middle by a newer one', async () => {
+  it('is superseded by a newer one during the transfer', async () => {
     await open(2);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => countRequests() > 5);
-    entry.exchange.adoptConfiguration(createConfiguration(9), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(9), 'store');
     await waitFor(() => links.services?.has('service-of-9') ?? false);
     await waitFor(() => links.keptVersion === 9);
     expect(logged.filter((event) => event === 'configuration-kept')).to.have.length(1);
   });
 
-  it('is taken whole from a dispatcher of the version before, whose link is not given up meanwhile', async () => {
+  it('is accepted whole from a dispatcher of the previous version without closing its link', async () => {
     await open(4);
-    entry.isOld = true;
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.isOld = true;
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => links.keptVersion === 7);
     expect(links.services?.has('service-of-7')).to.equal(true);
-    expect(entry.hellos).to.equal(1);
+    expect(dispatcher.hellos).to.equal(1);
   });
 
-  it('is told whole to a dispatcher of the version before', async () => {
+  it('is sent whole to a dispatcher of the previous version', async () => {
     await open(17.5);
-    entry.exchange.adoptConfiguration(createConfiguration(7), 'store');
+    dispatcher.exchange.adoptConfiguration(createConfiguration(7), 'store');
     await waitFor(() => links.keptVersion === 7);
-    entry.asksWhole = true;
-    await waitFor(() => entry.received.some(({ type }) => type === 'configuration'));
-    const notice = entry.received.find(({ type }) => type === 'configuration');
+    dispatcher.asksWhole = true;
+    await waitFor(() => dispatcher.received.some(({ type }) => type === 'configuration'));
+    const notice = dispatcher.received.find(({ type }) => type === 'configuration');
     expect(notice).to.deep.equal({ type: 'configuration', configuration: createConfiguration(7) });
   });
 });
--- a/test/congestion.test.ts
+++ b/test/congestion.test.ts
@@ -3,20 +3,20 @@
 import { runCongestion, TRIGGER_UNTIL_MS } from './fakes/CongestionModel.js';
 import { DelayWindow, LossWindow, UnboundedWindow } from '../src/process/dispatcher/SendWindow.js';
 import type { SendWindow } from '../src/process/dispatcher/SendWindow.js';
-import type { CongestionPlay } from './fakes/CongestionModel.js';
+import type { CongestionScenario } from './fakes/CongestionModel.js';
 
-/** Time after which what is served is back, ms, and the share of what is asked that counts as back. */
+/** Time allowed for recovery, ms, and the share of completed jobs that counts as recovered. */
 const RECOVERY_MS = 2_000;
 const BACK_SHARE = 0.9;
 const SEED = 20261202;
 
-/** Links from those of a small VM to those that are never filled, texts from a few words to the longest. */
+/** Links from slow to never saturated, job texts from short to the longest allowed. */
 const RATES_MBPS = [0.5, 2, 10, 100];
 const BODIES = [40, 1_200, 16_000];
-/** Dispatchers have links of their own; with more of them more is drawn at random. */
+/** Numbers of dispatchers; each has its own link. */
 const DISPATCHERS = [1, 3, 35];
 
-function listPlays(createWindow: () => SendWindow): CongestionPlay[] {
+function listPlays(createWindow: () => SendWindow): CongestionScenario[] {
   const loads = { load: 0.7, triggerLoad: 1.5, seed: SEED, createWindow };
   const alone = RATES_MBPS.flatMap((mbps) =>
     BODIES.map((bodyBytes) => ({ mbps, bodyBytes, dispatchers: 1, ...loads })),
@@ -30,26 +30,26 @@
 describe('dispatchers whose links were overloaded for a while', function () {
   this.timeout(120_000);
 
-  /** Plays after which less is served than the links carry. */
+  /** Lists the scenarios that do not recover. */
   function listDown(createWindow: () => SendWindow): string[] {
-    return listPlays(createWindow).flatMap((play) => {
-      const back = runCongestion(play).slice((TRIGGER_UNTIL_MS + RECOVERY_MS) / 1_000);
+    return listPlays(createWindow).flatMap((scenario) => {
+      const back = runCongestion(scenario).slice((TRIGGER_UNTIL_MS + RECOVERY_MS) / 1_000);
       const shares = back.slice(0, -1).map(({ submitted, completed }) => completed / submitted);
-      const { mbps, bodyBytes, dispatchers } = play;
+      const { mbps, bodyBytes, dispatchers } = scenario;
       const what = `${mbps} Mbit/s, ${bodyBytes} bytes, ${dispatchers} dispatchers: ${shares.join()}`;
       return shares.every((share) => share >= BACK_SHARE) ? [] : [what];
     });
   }
 
-  it('serve again what their links carry, two seconds after the overload', () => {
+  it('recover within two seconds after the overload', () => {
     expect(listDown(() => new DelayWindow())).to.deep.equal([]);
   });
 
-  it('do so too where only starts that expire tell of the overload', () => {
+  it('also recover when only expired starts indicate the overload', () => {
     expect(listDown(() => new LossWindow())).to.deep.equal([]);
   });
 
-  it('do not without a window, which the model must show', () => {
+  it('do not recover without a window, which validates the model', () => {
     expect(listDown(() => new UnboundedWindow())).to.have.length.greaterThan(5);
   });
 });
--- a/test/fakes/AddressUpstreamApi.ts
+++ b/test/fakes/AddressUpstreamApi.ts
@@ -1,4 +1,4 @@
-/** Orders to an address, where lives of an upstream follow each other under one id. */
+/** Client of an address at which successive incarnations of an upstream share one id. */
 import { UpstreamApi } from '../../src/ports/UpstreamApi.js';
 import type {
   LeaseAnswer,
@@ -11,23 +11,23 @@
 } from '../../src/ports/UpstreamApi.js';
 import type { FakeUpstream } from './FakeUpstream.js';
 
-/** Each order reaches the life that is there when it is sent. */
+/** Sends each call to the incarnation that listens when the call is made. */
 export class AddressUpstreamApi extends UpstreamApi {
-  /** @param findLife - the life that is there now */
-  constructor(private readonly findLife: () => FakeUpstream) {
+  /** @param findIncarnation - returns the current incarnation */
+  constructor(private readonly findIncarnation: () => FakeUpstream) {
     super();
   }
 
   override start(order: RunStart, timeoutMs: number): Promise<OrderAnswer<StartVerdict>> {
-    return this.findLife().start(order, timeoutMs);
+    return this.findIncarnation().start(order, timeoutMs);
   }
 
   override stop(name: RunName, fencingToken: number, timeoutMs: number): Promise<OrderAnswer<StopVerdict>> {
-    return this.findLife().stop(name, fencingToken, timeoutMs);
+    return this.findIncarnation().stop(name, fencingToken, timeoutMs);
   }
 
   override renew(renewal: LeaseRenewal, timeoutMs: number): Promise<LeaseAnswer> {
-    return this.findLife().renew(renewal, timeoutMs);
+    return this.findIncarnation().renew(renewal, timeoutMs);
   }
 
   override close(): void {
--- a/test/fakes/CongestionModel.ts
+++ b/test/fakes/CongestionModel.ts
@@ -1,10 +1,9 @@
 /**
- * Dispatchers whose links carry only so many bytes a second, and agents with room, on virtual time. The product's own
- * dispatcher runs unchanged.
+ * Model of dispatchers on links of limited bandwidth, on virtual time. The dispatchers are production code; executors
+ * always have free capacity.
  *
- * The pattern is a metastable failure, here a congestion collapse: a short overload (the trigger) makes starts wait for
- * the link for longer than they are good for; they come back as expired and are sent again, and what is sent for
- * nothing keeps the link full when the overload is over. What tells it from an overload is that it does not end.
+ * It reproduces a metastable failure, congestion collapse: during a short overload starts expire in the link's queue and
+ * are sent again, and these repeats keep the link full after the overload has ended.
  */
 import type {
   AttemptResult,
@@ -21,55 +20,55 @@
 import type { JobOutcome } from '../../src/request/dispatch/submission.js';
 import { ROUTE, STEP, WIDE_LIMITS } from './dispatchFixtures.js';
 
-/** One step of the virtual time, ms. */
+/** Step of the virtual time, ms. */
 const STEP_MS = 1;
 const TICK_MS = 40;
-/** One way of a message, ms, as between two failure domains. */
-const WAY_MS = 1;
-/** Time that a task works, ms, and that its caller waits. */
+/** One-way transit time between two failure domains, ms. */
+const TRANSIT_MS = 1;
+/** Duration of a task, and the caller's timeout, ms. */
 const WORK_MS = 60;
-const PATIENCE_MS = 1_500;
-/** Time that the users allow beyond the work, ms. */
+const CALLER_TIMEOUT_MS = 1_500;
+/** Target latency beyond the work, ms. */
 const TARGET_LATENCY_MS = 61;
-/** Agents that a dispatcher is linked to, and tasks that fit one: more than any load here asks for. */
-const AGENTS = 8;
+/** Executors per dispatcher and the capacity of each; more than any load here needs. */
+const EXECUTORS = 8;
 const CAPACITY = { cpuMilli: 100_000, memoryMb: 1_000_000, gpus: 0 };
-/** Most jobs a second that are submitted to one dispatcher: a wide link is not filled. */
+/** Most jobs per second that one dispatcher receives, also on a fast link. */
 const MAX_PER_S = 400;
-/** Bytes of a message beside its job's text. */
+/** Bytes of a message without the job's text. */
 const START_BYTES = 200;
 const TIMES = deriveDispatchTimes({ resubmitMs: 1_300, maxLeaseMs: 1_000 } as DispatchSettings);
 
-/** What is played. */
-export interface CongestionPlay {
-  /** Of each dispatcher's link, Mbit a second. */
+/** Parameters of a run. */
+export interface CongestionScenario {
+  /** Bandwidth of each dispatcher's link, Mbit/s. */
   readonly mbps: number;
   readonly dispatchers: number;
   /** Bytes of a job's text. */
   readonly bodyBytes: number;
-  /** Load before and after the trigger, as a share of what the link carries. */
+  /** Load before and after the overload, as a share of the link's bandwidth. */
   readonly load: number;
-  /** Load while the trigger lasts. */
+  /** Load during the overload. */
   readonly triggerLoad: number;
   readonly seed: number;
   readonly createWindow: () => SendWindow;
 }
 
-/** When the trigger begins, when it ends, and when the play ends, ms. */
+/** Start and end of the overload, and end of the run, ms. */
 export const TRIGGER_FROM_MS = 1_000;
 export const TRIGGER_UNTIL_MS = 5_000;
-export const PLAY_MS = 9_000;
+export const RUN_MS = 9_000;
 
-/** Jobs of one second by the time of their submission. */
+/** Jobs that were submitted within one second, by outcome. */
 export interface SecondCount {
   submitted: number;
   completed: number;
   refused: number;
 }
 
-interface Sent {
+interface InFlightMessage {
   readonly message: DispatcherMessage;
-  readonly agent: number;
+  readonly executor: number;
   readonly arrivesAt: number;
 }
 
@@ -78,37 +77,37 @@
   readonly endsAt: number;
 }
 
-interface ModelAgent {
+interface ModelExecutor {
   readonly id: string;
   startsSeen: number;
-  /** Time that the newest echo took, ms. */
-  echoMs: number;
+  /** Latest round-trip time, ms. */
+  roundTripMs: number;
   readonly runs: Run[];
   nextPingAt: number;
 }
 
-/** One dispatcher, its link and the agents it is linked to; dispatchers share nothing but the time. */
-class ModelEntry {
+/** Dispatcher with its link and executors; dispatchers share only the time. */
+class ModelDispatcher {
   readonly seconds: SecondCount[] = [];
-  private readonly dispatcher: Dispatcher;
-  private readonly agents: ModelAgent[] = [];
-  private readonly onTheWay: Sent[] = [];
+  private readonly core: Dispatcher;
+  private readonly executors: ModelExecutor[] = [];
+  private readonly inFlight: InFlightMessage[] = [];
   private now = 0;
   private linkFreeAt = 0;
   private due = 0;
   private jobs = 0;
 
   constructor(
-    private readonly play: CongestionPlay,
+    private readonly scenario: CongestionScenario,
     index: number,
   ) {
-    const nextRandom = createRandom(play.seed + index);
-    this.dispatcher = new Dispatcher(
+    const nextRandom = createRandom(scenario.seed + index);
+    this.core = new Dispatcher(
       {
         pingMs: TIMES.pingMs,
         bounds: new JobBounds(WIDE_LIMITS),
         placement: new SpeedPlacement(1),
-        window: play.createWindow(),
+        window: scenario.createWindow(),
         nextRandom,
       },
       {
@@ -117,28 +116,29 @@
         recordOutcome: () => undefined,
       },
     );
-    for (let number = 0; number < AGENTS; number += 1) {
+    for (let number = 0; number < EXECUTORS; number += 1) {
       const base = { failureDomain: 'x', holding: [], results: [], entryLife: 'me', orphanMs: 1_240 };
       const hello = { type: 'agent-hello', agent: `a${number}`, life: '1', ...base } as const;
-      const id = this.dispatcher.handleHello(hello, 'me', 0);
+      const id = this.core.handleHello(hello, 'me', 0);
       const nextPingAt = nextRandom() * TIMES.pingMs;
-      this.agents.push({ id, startsSeen: 0, echoMs: 0, runs: [], nextPingAt });
-      this.ping(this.agents[number] as ModelAgent);
+      this.executors.push({ id, startsSeen: 0, roundTripMs: 0, runs: [], nextPingAt });
+      this.ping(this.executors[number] as ModelExecutor);
     }
   }
 
-  /** Moves time on by one step. */
+  /** Advances time by one step. */
   step(now: number): void {
     this.now = now;
     this.submitDue();
-    while (this.onTheWay[0] && this.onTheWay[0].arrivesAt <= now) this.arrive(this.onTheWay.shift() as Sent);
-    for (const agent of this.agents) this.stepAgent(agent);
-    if (now % TICK_MS === 0) this.dispatcher.tick(now);
-    this.dispatcher.place(now);
+    while (this.inFlight[0] && this.inFlight[0].arrivesAt <= now)
+      this.arrive(this.inFlight.shift() as InFlightMessage);
+    for (const executor of this.executors) this.stepExecutor(executor);
+    if (now % TICK_MS === 0) this.core.tick(now);
+    this.core.place(now);
   }
 
   private submitDue(): void {
-    const { mbps, bodyBytes, load, triggerLoad } = this.play;
+    const { mbps, bodyBytes, load, triggerLoad } = this.scenario;
     const isTriggered = this.now >= TRIGGER_FROM_MS && this.now < TRIGGER_UNTIL_MS;
     const perSecond = (mbps * 125_000 * (isTriggered ? triggerLoad : load)) / (bodyBytes + START_BYTES);
     this.due += (Math.min(perSecond, MAX_PER_S) * STEP_MS) / 1_000;
@@ -153,67 +153,73 @@
     const submission = {
       id: `job${this.jobs}`,
       route: { ...ROUTE, targetLatencyMs: TARGET_LATENCY_MS },
-      spec: 'x'.repeat(this.play.bodyBytes),
+      spec: 'x'.repeat(this.scenario.bodyBytes),
       steps: [{ ...STEP, estimateMs: WORK_MS }],
-      patienceMs: PATIENCE_MS,
+      patienceMs: CALLER_TIMEOUT_MS,
     };
     const answer = ({ kind }: JobOutcome): void => {
       if (kind === 'completed') count.completed += 1;
       if (kind === 'refused') count.refused += 1;
     };
-    this.dispatcher.submit(submission, { answer }, this.now);
+    this.core.submit(submission, { answer }, this.now);
   }
 
-  /** Messages take their turn on the link. */
+  /** Queues a message on the link. */
   private send(id: string, message: DispatcherMessage): void {
     const bytes = START_BYTES + (message.type === 'start' ? message.spec.length : 0);
-    this.linkFreeAt = Math.max(this.linkFreeAt, this.now) + (bytes * 8) / (this.play.mbps * 1_000);
-    const agent = this.agents.findIndex((one) => one.id === id);
-    this.onTheWay.push({ message, agent, arrivesAt: this.linkFreeAt + WAY_MS });
+    this.linkFreeAt = Math.max(this.linkFreeAt, this.now) + (bytes * 8) / (this.scenario.mbps * 1_000);
+    const executor = this.executors.findIndex((one) => one.id === id);
+    this.inFlight.push({ message, executor, arrivesAt: this.linkFreeAt + TRANSIT_MS });
   }
 
-  private arrive({ message, agent: number }: Sent): void {
-    const agent = this.agents[number] as ModelAgent;
-    if (message.type === 'pong') agent.echoMs = this.now - message.at;
+  private arrive({ message, executor: number }: InFlightMessage): void {
+    const executor = this.executors[number] as ModelExecutor;
+    if (message.type === 'pong') executor.roundTripMs = this.now - message.at;
     if (message.type !== 'start') return;
-    agent.startsSeen += 1;
-    if (this.now > message.expiresAt) return this.tellResult(agent, message.name, 'not-run', 'expired');
-    agent.runs.push({ name: message.name, endsAt: this.now + WORK_MS });
+    executor.startsSeen += 1;
+    if (this.now > message.expiresAt) return this.sendResult(executor, message.name, 'not-run', 'expired');
+    executor.runs.push({ name: message.name, endsAt: this.now + WORK_MS });
   }
 
-  private stepAgent(agent: ModelAgent): void {
-    while (agent.runs[0] && agent.runs[0].endsAt <= this.now) {
-      const { name } = agent.runs.shift() as Run;
-      this.tellResult(agent, name, 'done', '');
+  private stepExecutor(executor: ModelExecutor): void {
+    while (executor.runs[0] && executor.runs[0].endsAt <= this.now) {
+      const { name } = executor.runs.shift() as Run;
+      this.sendResult(executor, name, 'done', '');
     }
-    if (this.now < agent.nextPingAt) return;
-    agent.nextPingAt += TIMES.pingMs;
-    this.ping(agent);
+    if (this.now < executor.nextPingAt) return;
+    executor.nextPingAt += TIMES.pingMs;
+    this.ping(executor);
   }
 
-  private ping(agent: ModelAgent): void {
+  private ping(executor: ModelExecutor): void {
     const at = this.now;
-    const ping = { at, version: 1, room: this.buildRoom(agent), progress: undefined, echoMs: agent.echoMs };
-    this.dispatcher.handlePing(agent.id, { type: 'ping', ...ping }, at);
+    const ping = {
+      at,
+      version: 1,
+      room: this.buildCapacityReport(executor),
+      progress: undefined,
+      echoMs: executor.roundTripMs,
+    };
+    this.core.handlePing(executor.id, { type: 'ping', ...ping }, at);
     const versions = { version: 1, typicalSpeed: 1 };
-    this.send(agent.id, { type: 'pong', at, ...versions, isWaiting: this.dispatcher.waitingTasks > 0 });
+    this.send(executor.id, { type: 'pong', at, ...versions, isWaiting: this.core.waitingTasks > 0 });
   }
 
-  private tellResult(
-    agent: ModelAgent,
+  private sendResult(
+    executor: ModelExecutor,
     name: AttemptResult['name'],
     end: AttemptResult['end'],
     reason: string,
   ): void {
-    this.dispatcher.handleResult(agent.id, { type: 'result', name, end, reason }, this.now);
-    this.dispatcher.handleCapacity(
-      agent.id,
-      { type: 'room', at: this.now, room: this.buildRoom(agent) },
+    this.core.handleResult(executor.id, { type: 'result', name, end, reason }, this.now);
+    this.core.handleCapacity(
+      executor.id,
+      { type: 'room', at: this.now, room: this.buildCapacityReport(executor) },
       this.now,
     );
   }
 
-  private buildRoom({ id, startsSeen, runs }: ModelAgent): CapacityReport {
+  private buildCapacityReport({ id, startsSeen, runs }: ModelExecutor): CapacityReport {
     const free = { ...CAPACITY, cpuMilli: CAPACITY.cpuMilli - runs.length * STEP.resources.cpuMilli };
     const description = { upstream: id, service: ROUTE.service, labels: [], capacity: CAPACITY };
     return { description, state: 'ready', trust: 'healthy', free, startsSeen, speed: 1 };
@@ -221,16 +227,19 @@
 }
 
 /**
- * Plays a load that is under the link's rate, a trigger that is over it, and the load again.
+ * Simulates a load below the link's bandwidth, an overload, and the first load again.
  *
- * @param play - rates and loads
- * @returns the jobs of each second, over all dispatchers
+ * @param scenario - rates and loads
+ * @returns the jobs of each second, summed over all dispatchers
  */
-export function runCongestion(play: CongestionPlay): SecondCount[] {
-  const entries = Array.from({ length: play.dispatchers }, (_, index) => new ModelEntry(play, index));
-  for (let now = 0; now < PLAY_MS; now += STEP_MS) for (const entry of entries) entry.step(now);
+export function runCongestion(scenario: CongestionScenario): SecondCount[] {
+  const dispatchers = Array.from(
+    { length: scenario.dispatchers },
+    (_, index) => new ModelDispatcher(scenario, index),
+  );
+  for (let now = 0; now < RUN_MS; now += STEP_MS) for (const dispatcher of dispatchers) dispatcher.step(now);
   const seconds: SecondCount[] = [];
-  for (const { seconds: own } of entries) {
+  for (const { seconds: own } of dispatchers) {
     own.forEach(({ submitted, completed, refused }, at) => {
       const sum = (seconds[at] ??= { submitted: 0, completed: 0, refused: 0 });
       sum.submitted += submitted;
--- a/test/fakes/FakeWorld.ts
+++ b/test/fakes/FakeWorld.ts
@@ -1,6 +1,6 @@
 /**
- * Entries, agents, their links, upstreams and the log on one virtual clock. Links drop, delay, repeat and
- * reorder; processes are killed, paused and replaced; every promise is checked as it happens.
+ * Simulation of entries, agents, links, upstreams and the log on one virtual clock. Links drop, delay, repeat and reorder
+ * messages; processes are killed, paused and replaced; the invariants are checked at each event.
  */
 import TinyQueue from 'tinyqueue';
 
@@ -20,14 +20,14 @@
 import type { EventConfig } from '../../src/version/configState.js';
 import { FakeLog } from './FakeLog.js';
 
-/** Rates of link faults, as shares of the messages. */
+/** Rates of link faults, as shares of all messages. */
 export interface LinkFaults {
   readonly drop: number;
   readonly repeat: number;
   readonly late: number;
 }
 
-/** Sizes and faults of a world. */
+/** Sizes and faults of a simulation. */
 export interface WorldOptions {
   readonly seed: number;
   readonly entries: number;
@@ -51,7 +51,7 @@
   readonly run: () => void;
 }
 
-/** What a caller sent and got. */
+/** A caller's submission and its answer. */
 export interface Submission {
   readonly job: string;
   readonly entry: string;
@@ -65,12 +65,12 @@
 const LOG_MS = 100;
 const SLOTS = 2;
 const TIGHT_DEADLINE_MS = 600;
-/** A link to a process that is paused for longer is given up, as keepalive pings would. */
+/** A link to a process that is paused for longer is closed, as by keepalive pings. */
 const KEEPALIVE_MS = 3_000;
-/** Promise of the brief: an upstream that is leaving receives no new work after a few seconds. */
+/** Time after which a leaving upstream receives no new work. */
 const LEAVING_BOUND_MS = 3_000;
 
-/** The event that every world starts with. */
+/** Event that every simulation starts with. */
 export const OPENING: EventConfig = {
   name: 'opening',
   startAt: 0,
@@ -90,12 +90,12 @@
   version: 0,
 };
 
-/** A broken promise. */
+/** Thrown when an invariant is violated. */
 export class PromiseBroken extends Error {
   override readonly name = 'PromiseBroken';
 }
 
-/** The virtual world. */
+/** Simulation of entries, agents and the log. */
 export class FakeWorld {
   now = START;
   readonly log = new FakeLog();
@@ -125,7 +125,7 @@
     this.advance(1_500);
   }
 
-  /** Runs the clock. */
+  /** Advances the clock and runs all events that are due. */
   advance(ms: number): void {
     const until = this.now + ms;
     for (;;) {
@@ -138,7 +138,7 @@
     this.now = until;
   }
 
-  /** Sends a job, or sends it again, through one entry. */
+  /** Submits a job, possibly again, to one entry. */
   submit(number: number, entry: number, changed = false): void {
     const process = this.processes.get(`entry-${entry}`);
     if (!process?.alive || this.now < process.pausedUntil) return;
@@ -155,56 +155,56 @@
     const submission: Submission = { job, entry: process.id, at: this.now, answer: undefined };
     const caller = String(this.submissions.push(submission) - 1);
     const createdAt = this.created.get(job) as number;
-    // Some jobs have so little time that a loaded entry refuses what an idle one took.
+    // Some deadlines are so tight that a loaded entry refuses a job that an idle one accepted.
     const deadlineMs = number % 4 === 1 ? TIGHT_DEADLINE_MS : undefined;
     const request = { job, createdAt, event: 'opening', deadlineMs, tasks, caller: '', team: '' };
     node.submit(request, caller, this.now);
-    this.carryOut(process);
+    this.applyEffects(process);
   }
 
-  /** Ends a process; nothing of it is kept. */
+  /** Kills a process and drops its state. */
   kill(id: string): void {
     const process = this.processes.get(id);
     if (!process?.alive) return;
     process.alive = false;
     for (const key of [...this.sessions.keys()]) {
       const link = this.sessions.get(key);
-      if (link && (link.left === this.peerOf(process) || link.right === this.peerOf(process)))
+      if (link && (link.left === this.buildPeerName(process) || link.right === this.buildPeerName(process)))
         this.breakLink(key);
     }
   }
 
-  /** Starts a killed process anew, as another incarnation at the same address. */
+  /** Restarts a killed process as its next incarnation at the same address. */
   restart(id: string): void {
     const process = this.processes.get(id);
     if (process && !process.alive) this.boot(id, process.domain, process.incarnation + 1);
   }
 
-  /** Stops a process for a while without its knowing. */
+  /** Pauses a process without notice. */
   pause(id: string, ms: number): void {
     const process = this.processes.get(id);
     if (process?.alive) process.pausedUntil = Math.max(process.pausedUntil, this.now + ms);
   }
 
-  /** Begins a planned stop of an agent. */
+  /** Starts a planned stop of an agent. */
   leave(id: string): void {
     const process = this.processes.get(id);
     if (!process?.alive || !(process.node instanceof AgentNode) || process.leftAt > 0) return;
     process.leftAt = this.now;
     process.node.leave();
-    this.carryOut(process);
+    this.applyEffects(process);
   }
 
-  /** Makes an agent's upstream refuse connections for a while. */
+  /** Makes an agent's upstream refuse connections for some time. */
   breakUpstream(id: string, ms: number): void {
     const process = this.processes.get(id);
     if (!process?.alive || !(process.node instanceof AgentNode)) return;
     const { node } = process;
     node.setUpstreamDown(true);
-    this.carryOut(process);
+    this.applyEffects(process);
     this.schedule(ms, () => {
       node.setUpstreamDown(false);
-      if (process.node === node && process.alive) this.carryOut(process);
+      if (process.node === node && process.alive) this.applyEffects(process);
     });
   }
 
@@ -213,7 +213,7 @@
     this.cut.add(domain);
   }
 
-  /** Mends every link and the log, and starts what is dead. */
+  /** Ends all faults and restarts dead processes. */
   heal(): void {
     this.cut.clear();
     this.log.down = false;
@@ -223,7 +223,7 @@
     }
   }
 
-  /** Heals the world, lets everything end, and checks that every caller of a live entry was answered. */
+  /** Ends all faults, runs to the end, and checks that every caller of a live entry was answered. */
   settle(): void {
     this.heal();
     this.advance(40_000);
@@ -257,8 +257,8 @@
       failureDomain: `d${domain}`,
       snapshotEvery: 10,
     };
-    // Links of the fake lose single messages, which real ones do not: ask again sooner. Announcements come in
-    // many parts, as they do at a fleet's size.
+    // Simulated links lose single messages, unlike real ones, so entries ask again sooner. Small parts make
+    // announcements span several messages, as in a large fleet.
     const limits = { ...DEFAULT_ENTRY_LIMITS, askAgainMs: 2_000, claimsPerPart: 2 };
     return new EntryNode(peer, limits, membership, {
       policy,
@@ -287,7 +287,7 @@
       if (!process.alive || process.incarnation !== incarnation) return;
       if (this.now < process.pausedUntil) return this.schedule(process.pausedUntil - this.now, turn);
       run();
-      this.carryOut(process);
+      this.applyEffects(process);
       this.schedule(every, turn);
     };
     this.schedule(Math.floor(this.nextRandom() * every), turn);
@@ -298,7 +298,7 @@
     this.events.push({ at: this.now + delay, order: this.order, run });
   }
 
-  private peerOf(process: Process): string {
+  private buildPeerName(process: Process): string {
     return `${process.id}@${process.incarnation}`;
   }
 
@@ -314,7 +314,7 @@
     process.node.followLog(JSON.parse(JSON.stringify(entries)), this.now);
   }
 
-  /** Opens links to every live process that can be reached, and notices those that are gone. */
+  /** Opens links to every reachable live process and closes those that are gone. */
   private keepLinks(process: Process): void {
     for (const other of this.processes.values()) {
       if (other === process) continue;
@@ -323,7 +323,7 @@
       const silent = other.pausedUntil - this.now > KEEPALIVE_MS;
       const reachable = other.alive && !silent && !this.isCut(process, other);
       if (link) {
-        const current = link.left === this.peerOf(process) && link.right === this.peerOf(other);
+        const current = link.left === this.buildPeerName(process) && link.right === this.buildPeerName(other);
         if (!reachable || !current) this.breakLink(key);
         continue;
       }
@@ -335,9 +335,9 @@
   private openLink(key: string, left: Process, right: Process): void {
     this.order += 1;
     const session = this.order;
-    this.sessions.set(key, { left: this.peerOf(left), right: this.peerOf(right), session });
-    this.hand(left, right, session, key, (node) => this.acceptHello(node, left.node.buildHello()));
-    this.hand(right, left, session, key, (node) => this.acceptHello(node, right.node.buildHello()));
+    this.sessions.set(key, { left: this.buildPeerName(left), right: this.buildPeerName(right), session });
+    this.transmit(left, right, session, key, (node) => this.acceptHello(node, left.node.buildHello()));
+    this.transmit(right, left, session, key, (node) => this.acceptHello(node, right.node.buildHello()));
   }
 
   private acceptHello(node: EntryNode | AgentNode, hello: Hello): void {
@@ -354,7 +354,7 @@
       [link.right, link.left],
     ] as const) {
       const process = this.processes.get(own.slice(0, own.lastIndexOf('@')));
-      if (!process?.alive || this.peerOf(process) !== own) continue;
+      if (!process?.alive || this.buildPeerName(process) !== own) continue;
       this.schedule(20, () => {
         if (this.sessions.has(key)) return;
         process.node.closeLink(other, this.now);
@@ -362,22 +362,22 @@
     }
   }
 
-  /** Carries out what a process wants, and checks each start. */
-  private carryOut(process: Process): void {
+  /** Applies a process's effects and checks each start. */
+  private applyEffects(process: Process): void {
     const effects =
       process.node instanceof EntryNode ? process.node.takeEffects(this.now) : process.node.takeEffects();
     for (const effect of effects) {
       if (effect.type === 'send') this.send(process, effect.to, effect.message);
       else if (effect.type === 'append') this.append(process, effect.record);
       else if (effect.type === 'run') this.runTask(process, effect.task);
-      else if (effect.type === 'answer') this.takeAnswer(effect.caller, effect.answer);
+      else if (effect.type === 'answer') this.handleAnswer(effect.caller, effect.answer);
     }
   }
 
   private append(process: Process, record: Parameters<FakeLog['append']>[0]): void {
     const copy = JSON.parse(JSON.stringify(record));
     if (this.cut.has(process.domain)) return;
-    // An append may be lost, or take effect late, or twice because its answer was lost.
+    // An append may be lost, applied late, or applied twice because its answer was lost.
     if (this.nextRandom() < 0.1) return;
     this.schedule(5 + this.nextRandom() * 50, () => this.log.append(copy, this.now));
     if (this.nextRandom() < 0.2) this.schedule(300, () => this.log.append(copy, this.now));
@@ -386,7 +386,7 @@
   private send(from: Process, to: string, message: Message): void {
     this.messages += 1;
     const other = this.processes.get(to.slice(0, to.lastIndexOf('@')));
-    if (!other || this.peerOf(other) !== to) return;
+    if (!other || this.buildPeerName(other) !== to) return;
     const [left, right] = from.node instanceof EntryNode ? [from, other] : [other, from];
     let key = `${left.id}|${right.id}`;
     let link = this.sessions.get(key);
@@ -399,14 +399,14 @@
     const { faults } = this.options;
     const times = this.nextRandom() < faults.drop ? 0 : this.nextRandom() < faults.repeat ? 2 : 1;
     for (let i = 0; i < times; i += 1) {
-      this.hand(from, other, link.session, key, (node, now) =>
-        node.receive(this.peerOf(from), copy as Message, now),
+      this.transmit(from, other, link.session, key, (node, now) =>
+        node.receive(this.buildPeerName(from), copy as Message, now),
       );
     }
   }
 
-  /** Delivers to a process over a link session, late sometimes, and after its pause. */
-  private hand(
+  /** Delivers to a process over a link session, sometimes late, and after its pause. */
+  private transmit(
     from: Process,
     to: Process,
     session: number,
@@ -421,7 +421,7 @@
       if (this.now < to.pausedUntil) return this.schedule(to.pausedUntil - this.now, deliver);
       if (this.sessions.get(key)?.session !== session) return;
       run(to.node, this.now);
-      this.carryOut(to);
+      this.applyEffects(to);
     };
     this.schedule(delay, deliver);
   }
@@ -443,12 +443,12 @@
       if (this.now < process.pausedUntil) return this.schedule(process.pausedUntil - this.now, end);
       if (fate < 0.01) node.endTask(task, { type: 'lost', reason: 'connection-broken' }, this.now);
       else node.endTask(task, { type: 'answered', status: 200, body }, this.now);
-      this.carryOut(process);
+      this.applyEffects(process);
     };
     this.schedule(50 + this.nextRandom() * 300, end);
   }
 
-  private takeAnswer(caller: string, answer: JobAnswer): void {
+  private handleAnswer(caller: string, answer: JobAnswer): void {
     const submission = this.submissions[Number(caller)] as Submission;
     if (submission.answer) throw new PromiseBroken(`${submission.job} was answered twice on one connection`);
     submission.answer = answer;
@@ -457,7 +457,8 @@
       throw new PromiseBroken(`${submission.job} ran and was refused`);
     if (answer.outcome !== 'complete') return;
     const count = 1 + (Number(submission.job.slice(4)) % 7);
-    if (answer.answers.length !== count) throw new PromiseBroken(`${submission.job} was answered in part`);
+    if (answer.answers.length !== count)
+      throw new PromiseBroken(`${submission.job} was answered only partially`);
     answer.answers.forEach(({ body }, index) => {
       if (!body.startsWith(`"${submission.job}/${index}`))
         throw new PromiseBroken(`${submission.job} got ${body}`);
--- a/test/fakes/runDispatchSimulation.ts
+++ b/test/fakes/runDispatchSimulation.ts
@@ -1,18 +1,18 @@
 import * as fc from 'fast-check';
 
 import type { dispatchCommands } from './dispatchCommands.js';
-import { DispatchWorld } from './DispatchWorld.js';
+import { DispatchSimulation } from './DispatchSimulation.js';
 
 /**
- * Runs dispatchers and agents through random failures.
+ * Simulates dispatchers and executors under random faults.
  *
- * @param drawn - what the commands of a run are drawn from
+ * @param drawn - arbitrary of the commands of a run
  * @param seed - first seed
  * @param runs - number of runs
- * @param shrink - whether a failure is reduced, which takes long
- * @param keepsIds - whether lives of an upstream follow each other under one id
- * @returns what was submitted and how it was answered
- * @throws when a promise is broken, with seed and commands
+ * @param shrink - whether a failure is shrunk, which is slow
+ * @param keepsIds - whether incarnations of an upstream share an id
+ * @returns number of submissions and of answers by kind
+ * @throws if an invariant is violated, with seed and commands
  */
 export async function runDispatchSimulation(
   drawn: typeof dispatchCommands,
@@ -22,16 +22,16 @@
   keepsIds = false,
 ): Promise<Record<string, number>> {
   const totals: Record<string, number> = {};
-  const property = fc.asyncProperty(drawn, fc.integer(), async (commands, worldSeed) => {
-    const world = new DispatchWorld(worldSeed, keepsIds);
+  const property = fc.asyncProperty(drawn, fc.integer(), async (commands, simulationSeed) => {
+    const simulation = new DispatchSimulation(simulationSeed, keepsIds);
     try {
-      await world.advance(200);
-      await fc.asyncModelRun(() => ({ model: {}, real: world }), commands);
-      await world.settle();
+      await simulation.advance(200);
+      await fc.asyncModelRun(() => ({ model: {}, real: simulation }), commands);
+      await simulation.settle();
     } finally {
-      world.close();
+      simulation.close();
     }
-    for (const [name, count] of Object.entries(world.counts)) totals[name] = (totals[name] ?? 0) + count;
+    for (const [name, count] of Object.entries(simulation.counts)) totals[name] = (totals[name] ?? 0) + count;
   });
   await fc.assert(property, { numRuns: runs, seed, endOnFailure: !shrink });
   return totals;
