--- a/test/capacityByDemand.test.ts
+++ b/test/capacityByDemand.test.ts
@@ -8,20 +8,20 @@
 /** Peak load as a share of the capacity. */
 const PEAK = 0.95;
 /** Largest share of rejected starts at the peak. */
-const RETURNED = 0.03;
+const MAX_REJECTED_SHARE = 0.03;
 /** Largest share of jobs that may be late or lost in addition to those with `open` sharing. */
-const ROUND_TRIP_LOSS = 0.06;
+const MAX_LOSS = 0.06;
 
-async function play(change: Partial<CapacityScenario>): Promise<CapacityCounts> {
+async function runModel(change: Partial<CapacityScenario>): Promise<CapacityCounts> {
   const base = { load: PEAK, transitMs: TRANSIT_MS, seed: SEED, durationMs: 5_000, countFromMs: 1_500 };
   return new CapacityModel({ ...base, sharing: 'demand', ...change }).run();
 }
 
-function readReturned({ full, starts }: CapacityCounts): number {
+function computeRejectedShare({ full, starts }: CapacityCounts): number {
   return full / starts;
 }
 
-function readInTime({ inTime, submitted }: CapacityCounts): number {
+function computeInTimeShare({ inTime, submitted }: CapacityCounts): number {
   return inTime / submitted;
 }
 
@@ -32,23 +32,23 @@
   let divided: CapacityCounts;
 
   before(async () => {
-    open = await play({ sharing: 'open' });
-    divided = await play({});
+    open = await runModel({ sharing: 'open' });
+    divided = await runModel({});
   });
 
   it('have over 12% of their starts rejected with `open`', () => {
-    expect(readReturned(open)).to.be.greaterThan(0.12);
+    expect(computeRejectedShare(open)).to.be.greaterThan(0.12);
   });
 
   it('have few starts rejected when capacity is divided by demand, with transit times from 0.5 to 3 ms', async () => {
     for (const transitMs of [0.5, TRANSIT_MS, 3]) {
-      const count = transitMs === TRANSIT_MS ? divided : await play({ transitMs });
-      expect(readReturned(count), `${transitMs} ms`).to.be.lessThan(RETURNED);
+      const count = transitMs === TRANSIT_MS ? divided : await runModel({ transitMs });
+      expect(computeRejectedShare(count), `${transitMs} ms`).to.be.lessThan(MAX_REJECTED_SHARE);
     }
   });
 
   it('serve at most 6 points fewer jobs in time than with `open`', () => {
-    expect(readInTime(divided)).to.be.greaterThan(readInTime(open) - ROUND_TRIP_LOSS);
+    expect(computeInTimeShare(divided)).to.be.greaterThan(computeInTimeShare(open) - MAX_LOSS);
     expect(divided.completed / divided.submitted).to.be.greaterThan(0.96);
   });
 
@@ -58,12 +58,14 @@
   });
 
   it('serve as many jobs in time as with `open` at half load', async () => {
-    const today = await play({ sharing: 'open', load: 0.5 });
-    expect(readInTime(await play({ load: 0.5 }))).to.be.greaterThan(readInTime(today) - 0.01);
+    const today = await runModel({ sharing: 'open', load: 0.5 });
+    expect(computeInTimeShare(await runModel({ load: 0.5 }))).to.be.greaterThan(
+      computeInTimeShare(today) - 0.01,
+    );
   });
 
   it('get the same result as with `open` when they report no demand', async () => {
-    const earlier = await play({ earlierDispatchers: 8 });
+    const earlier = await runModel({ earlierDispatchers: 8 });
     expect(earlier.full).to.equal(open.full);
     expect(earlier.completed).to.equal(open.completed);
   });
@@ -73,26 +75,31 @@
   this.timeout(120_000);
 
   /** Time after a failure until the capacity of the dispatcher is free again, and one ping interval, ms. */
-  const BACK_MS = 700;
+  const RECOVERY_MS = 700;
   const FAILS_AT = 2_000;
 
   /** Returns the share of capacity that is idle while tasks wait, after the recovery time. */
   async function measureIdle(run: (model: CapacityModel) => void): Promise<number> {
     const events = [{ at: FAILS_AT, run }];
-    const { idleWhileWaiting, steps } = await play({ events, countFromMs: FAILS_AT + BACK_MS, load: 1 });
+    const { idleWhileWaiting, steps } = await runModel({
+      events,
+      countFromMs: FAILS_AT + RECOVERY_MS,
+      load: 1,
+    });
     return idleWhileWaiting / steps;
   }
 
   const failures: [string, (model: CapacityModel) => void][] = [
     [
       'dies',
-      ({ dispatchers, executors }) => executors.forEach((executor) => endEntry(dispatchers[0], executor)),
+      ({ dispatchers, executors }) =>
+        executors.forEach((executor) => killDispatcher(dispatchers[0], executor)),
     ],
     ['freezes', ({ dispatchers: [first] }) => first && (first.state = 'frozen')],
-    ['is cut off', ({ dispatchers: [first] }) => first && (first.isCut = true)],
+    ['is cut off', ({ dispatchers: [first] }) => first && (first.isPartitioned = true)],
   ];
 
-  function endEntry(
+  function killDispatcher(
     dispatcher: CapacityModel['dispatchers'][number] | undefined,
     executor: CapacityModel['executors'][number],
   ): void {
@@ -119,7 +126,7 @@
   });
 
   it('causes few rejected starts when demand is 1.5 times the capacity', async () => {
-    const count = await play({ load: 1.5, countFromMs: 500, durationMs: 4_000 });
-    expect(readReturned(count)).to.be.lessThan(RETURNED);
+    const count = await runModel({ load: 1.5, countFromMs: 500, durationMs: 4_000 });
+    expect(computeRejectedShare(count)).to.be.lessThan(MAX_REJECTED_SHARE);
   });
 });
--- a/test/changingCapacity.test.ts
+++ b/test/changingCapacity.test.ts
@@ -27,41 +27,41 @@
   });
 
   /** Makes the upstream report a capacity, in tasks, and waits until its executor has logged it. */
-  async function tellRoom(tasks: number): Promise<void> {
+  async function reportCapacity(tasks: number): Promise<void> {
     const [runner] = bench.runners;
     if (!runner) throw new Error('no upstream was started');
-    const isNoted = (): boolean => bench.readOutput('agent-1').includes(describeRoom(tasks));
+    const isLogged = (): boolean => bench.readOutput('agent-1').includes(buildCapacityText(tasks));
     runner.toldCpu = tasks * TASK_CPU;
-    await bench.waitFor(isNoted, 'that the executor has the new capacity');
+    await bench.waitFor(isLogged, 'that the executor has the new capacity');
   }
 
-  function describeRoom(tasks: number): string {
+  function buildCapacityText(tasks: number): string {
     return `"capacity":{"cpuMilli":${tasks * TASK_CPU},`;
   }
 
   /** Submits a wide job and returns the most tasks that ran at the same time. */
-  async function countAtOnce(job: string): Promise<number> {
+  async function countConcurrent(job: string): Promise<number> {
     bench.maxRunning = 0;
     expect((await bench.submit('entry-1', job, WIDE, TASK_MS)).status).to.equal(200);
     return bench.maxRunning;
   }
 
   it('gets no more tasks than fit, and more after the capacity has grown again', async () => {
-    await tellRoom(1);
-    expect(await countAtOnce('shrunk')).to.equal(1);
-    await tellRoom(3);
-    expect(await countAtOnce('grown')).to.be.within(2, 3);
+    await reportCapacity(1);
+    expect(await countConcurrent('shrunk')).to.equal(1);
+    await reportCapacity(3);
+    expect(await countConcurrent('grown')).to.be.within(2, 3);
   });
 
   // Guards against use of the initial capacity: the restarted executor has only the stored report.
   it('gets no more tasks than fit after its executor has restarted', async () => {
-    await tellRoom(1);
-    await bench.waitFor(() => bench.store.keptValues.some((value) => value.includes(describeRoom(1))));
+    await reportCapacity(1);
+    await bench.waitFor(() => bench.store.keptValues.some((value) => value.includes(buildCapacityText(1))));
     for (const runner of bench.runners) runner.mute = true;
     bench.signal('agent-1', 'SIGKILL');
     await bench.waitForExit('agent-1');
     await bench.startDaemon('agent-1');
     await bench.waitFor(() => bench.readOutput('agent-1').includes('upstream-joined'), 'that it is back');
-    expect(await countAtOnce('restarted')).to.equal(1);
+    expect(await countConcurrent('restarted')).to.equal(1);
   });
 });
--- a/test/configurationLinks.test.ts
+++ b/test/configurationLinks.test.ts
@@ -17,11 +17,11 @@
 import { LoopbackProxy } from './fakes/LoopbackProxy.js';
 
 const HOST = '127.0.0.1';
-const LOOK_MS = 20;
+const POLL_MS = 20;
 const PING_MS = 100;
 const ROUTES = 1_500;
 const LIMITS = { maxBodyBytes: 1_000, headerTimeoutMs: 1_000, idleTimeoutMs: 1_000 };
-const ROOM = {
+const CAPACITY = {
   description: undefined,
   state: 'ready',
   trust: 'healthy',
@@ -35,13 +35,19 @@
 }
 
 /** Creates a stub with the members of `Executor` that the links use. */
-function createCore(): Executor {
+function createExecutor(): Executor {
   const holding = { holding: [], results: [], entryLife: '', orphanMs: 1_000 };
   const hello = { type: 'agent-hello', agent: 'a1', life: '1', failureDomain: 'x', ...holding } as const;
   const core = {
     buildHello: () => hello,
     buildPing: (_: string, version: number) => {
-      return { type: 'ping', at: Math.floor(performance.now()), version, room: ROOM, progress: undefined };
+      return {
+        type: 'ping',
+        at: Math.floor(performance.now()),
+        version,
+        room: CAPACITY,
+        progress: undefined,
+      };
     },
     handleWelcome: () => undefined,
     handleDispatcherReplaced: () => undefined,
@@ -55,7 +61,7 @@
 }
 
 /** Dispatcher side of a link: answers pings and exchanges versions as the daemon does. */
-class Entry {
+class TestDispatcher {
   readonly received: PeerMessage[] = [];
   exchange: OperatorExchange;
   hellos = 0;
@@ -88,7 +94,7 @@
 
   private receive(channel: LineChannel, message: PeerMessage): void {
     this.received.push(message);
-    if (message.type === 'agent-hello') this.welcome(channel);
+    if (message.type === 'agent-hello') this.sendWelcome(channel);
     if (message.type === 'ping') {
       const { versions } = this.exchange;
       channel.send({ type: 'pong', at: message.at, ...versions, typicalSpeed: 1, isWaiting: false });
@@ -101,7 +107,7 @@
       channel.send({ type: 'configuration', configuration });
   }
 
-  private welcome(channel: LineChannel): void {
+  private sendWelcome(channel: LineChannel): void {
     this.hellos += 1;
     const place = { address: `${HOST}:1`, failureDomain: 'x' };
     channel.send({ type: 'entry-welcome', entry: 'e1', life: 'e1@1', place });
@@ -110,7 +116,7 @@
 
 describe('a large configuration on real links', function () {
   this.timeout(60_000);
-  let dispatcher: Entry;
+  let dispatcher: TestDispatcher;
   let proxy: LoopbackProxy;
   let links: DispatcherLinks;
   let timer: NodeJS.Timeout;
@@ -119,14 +125,14 @@
   /** Opens an executor with one link of the given bandwidth, Mbit/s. */
   async function open(mbps: number): Promise<void> {
     logged = [];
-    dispatcher = new Entry(mbps);
+    dispatcher = new TestDispatcher(mbps);
     proxy = new LoopbackProxy(HOST, 0, HOST, await dispatcher.start(0));
     proxy.setRate(mbps);
     const linkPort = await proxy.start();
     const fleet = { maxLinks: 3, smallFleet: 6, linkPort };
     const options = { agent: 'a1', failureDomain: 'x', ...fleet, pingMs: PING_MS, linkMbps: mbps };
     const log = (event: string): number => logged.push(event);
-    links = new DispatcherLinks(options, createCore(), new SteadyClock(), log, () => 0);
+    links = new DispatcherLinks(options, createExecutor(), new SteadyClock(), log, () => 0);
     links.recordSeeds([`${HOST}:1`]);
     timer = setInterval(() => {
       links.ping();
@@ -143,7 +149,7 @@
   });
 
   async function waitFor(holds: () => boolean): Promise<void> {
-    while (!holds()) await sleep(LOOK_MS);
+    while (!holds()) await sleep(POLL_MS);
   }
 
   function countRequests(): number {
@@ -158,7 +164,7 @@
     await waitFor(() => links.keptVersion === 7);
     expect(logged).to.not.include('entry-unlinked');
     expect(logged).to.include.members(['services-known', 'configuration-kept']);
-    const { exchange } = new Entry(2);
+    const { exchange } = new TestDispatcher(2);
     dispatcher.exchange = exchange;
     await waitFor(() => exchange.configuration?.version === 7);
     expect(exchange.configuration).to.deep.equal(createConfiguration(7));
--- a/test/congestion.test.ts
+++ b/test/congestion.test.ts
@@ -7,7 +7,7 @@
 
 /** Time allowed for recovery, ms, and the share of completed jobs that counts as recovered. */
 const RECOVERY_MS = 2_000;
-const BACK_SHARE = 0.9;
+const RECOVERED_SHARE = 0.9;
 const SEED = 20261202;
 
 /** Links from slow to never saturated, job texts from short to the longest allowed. */
@@ -16,7 +16,7 @@
 /** Numbers of dispatchers; each has its own link. */
 const DISPATCHERS = [1, 3, 35];
 
-function listPlays(createWindow: () => SendWindow): CongestionScenario[] {
+function listScenarios(createWindow: () => SendWindow): CongestionScenario[] {
   const loads = { load: 0.7, triggerLoad: 1.5, seed: SEED, createWindow };
   const alone = RATES_MBPS.flatMap((mbps) =>
     BODIES.map((bodyBytes) => ({ mbps, bodyBytes, dispatchers: 1, ...loads })),
@@ -31,25 +31,25 @@
   this.timeout(120_000);
 
   /** Lists the scenarios that do not recover. */
-  function listDown(createWindow: () => SendWindow): string[] {
-    return listPlays(createWindow).flatMap((scenario) => {
+  function listFailures(createWindow: () => SendWindow): string[] {
+    return listScenarios(createWindow).flatMap((scenario) => {
       const back = runCongestion(scenario).slice((TRIGGER_UNTIL_MS + RECOVERY_MS) / 1_000);
       const shares = back.slice(0, -1).map(({ submitted, completed }) => completed / submitted);
       const { mbps, bodyBytes, dispatchers } = scenario;
       const what = `${mbps} Mbit/s, ${bodyBytes} bytes, ${dispatchers} dispatchers: ${shares.join()}`;
-      return shares.every((share) => share >= BACK_SHARE) ? [] : [what];
+      return shares.every((share) => share >= RECOVERED_SHARE) ? [] : [what];
     });
   }
 
   it('recover within two seconds after the overload', () => {
-    expect(listDown(() => new DelayWindow())).to.deep.equal([]);
+    expect(listFailures(() => new DelayWindow())).to.deep.equal([]);
   });
 
   it('also recover when only expired starts indicate the overload', () => {
-    expect(listDown(() => new LossWindow())).to.deep.equal([]);
+    expect(listFailures(() => new LossWindow())).to.deep.equal([]);
   });
 
   it('do not recover without a window, which validates the model', () => {
-    expect(listDown(() => new OpenWindow())).to.have.length.greaterThan(5);
+    expect(listFailures(() => new OpenWindow())).to.have.length.greaterThan(5);
   });
 });
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -24,7 +24,7 @@
 const RUNS = Number(FUZZ_RUNS ?? 10_000);
 const SEED = Number(FUZZ_SEED ?? 18);
 /** Longest CPU time to parse one input in manual runs, ms. */
-const MAX_STAND_MS = 50;
+const MAX_CPU_MS = 50;
 
 const JOB = {
   spec: 'text',
@@ -63,17 +63,17 @@
   }
 }
 
-const ANYTHING = fc.oneof(
+const ANY_TEXT = fc.oneof(
   fc.json(),
   fc.string(),
   fc.constantFrom('null', '[]', '{"steps":[null]}', '{"steps":[{"after":[9]}]}', '{"routes":[1]}', '1e999'),
 );
-const ODD = fc.oneof(
+const INVALID_VALUE = fc.oneof(
   fc.constantFrom(null, -1, 1.5, 1e308, '', [], {}, true, 'y'.repeat(5_000), [[]], -0),
   fc.jsonValue(),
 );
 
-function readWhole(text: string): void {
+function parseAll(text: string): void {
   parseJob(text);
   parseConfiguration(text);
   parseBeat('i', text);
@@ -85,27 +85,27 @@
   }
 }
 
-function readInTime(text: string): void {
+function parseInTime(text: string): void {
   const before = process.cpuUsage();
-  readWhole(text);
+  parseAll(text);
   if (FUZZ_RUNS === undefined) return;
   const { user, system } = process.cpuUsage(before);
-  expect((user + system) / 1_000, text).to.be.lessThan(MAX_STAND_MS);
+  expect((user + system) / 1_000, text).to.be.lessThan(MAX_CPU_MS);
 }
 
 describe('parsers of external input', function () {
   this.timeout(300_000);
 
   it('parse any text without an exception', () => {
-    fc.assert(fc.property(ANYTHING, readInTime), { numRuns: RUNS, seed: SEED });
+    fc.assert(fc.property(ANY_TEXT, parseInTime), { numRuns: RUNS, seed: SEED });
   });
 
   it('parse mutated and truncated inputs without an exception', () => {
     const valid = fc.constantFrom<unknown>(JOB, HEARTBEAT, CONFIGURATION, START);
-    const property = fc.property(valid, fc.nat(60), ODD, fc.nat(400), (value, at, to, cut) => {
+    const property = fc.property(valid, fc.nat(60), INVALID_VALUE, fc.nat(400), (value, at, to, cut) => {
       const text = JSON.stringify(mutate(value, at, to));
-      readInTime(text);
-      readInTime(text.slice(0, cut));
+      parseInTime(text);
+      parseInTime(text.slice(0, cut));
     });
     fc.assert(property, { numRuns: RUNS, seed: SEED });
   });
--- a/test/dispatchPromises.test.ts
+++ b/test/dispatchPromises.test.ts
@@ -16,7 +16,7 @@
 /** First seed of runs with suspended VMs. */
 const SUSPENSION_SEED = 50_000_001;
 /** First seed of runs with capacity changes. */
-const ROOM_SEED = 51_000_001;
+const CAPACITY_SEED = 51_000_001;
 /** Seeds that violated an invariant, with the number of runs to reproduce it. */
 const RESTART_SEEDS = [
   { seed: 100_014, runs: 170 },
@@ -58,7 +58,7 @@
   });
 
   it('hold when the capacity of upstreams changes', async () => {
-    const totals = await runDispatchSimulation(capacityCommands, ROOM_SEED, RUNS, false);
+    const totals = await runDispatchSimulation(capacityCommands, CAPACITY_SEED, RUNS, false);
     expect(totals['completed']).to.be.greaterThan(0);
     expect(totals['interrupted']).to.be.greaterThan(0);
   });
--- a/test/fakes/CapacityModel.ts
+++ b/test/fakes/CapacityModel.ts
@@ -40,7 +40,7 @@
 /** Relative spread of a task's duration around its estimate. */
 const WORK_SPREAD = 0.4;
 /** Demand of a failure domain is a cosine wave: amplitude, period and phase shift between domains, ms. */
-const SWING = 0.55;
+const AMPLITUDE = 0.55;
 const PERIOD_MS = 17_000;
 const PHASE_MS = 1_400;
 /** Share of a failure domain's jobs that its first dispatcher receives. */
@@ -92,7 +92,7 @@
   /** A frozen dispatcher handles its messages when it resumes; a dead one drops them. */
   state: 'live' | 'frozen' | 'dead' = 'live';
   /** Whether messages in both directions are lost. */
-  isCut = false;
+  isPartitioned = false;
   readonly inbox: (() => void)[] = [];
   private demandSentAt = -Infinity;
   private readonly demandLinks = new Set<string>();
@@ -138,7 +138,7 @@
       const pong = { type: 'pong', at: message.at, version: 1, typicalSpeed, isWaiting } as const;
       const needsDemand = isWaiting || !this.demandLinks.has(executor);
       this.demandLinks.add(executor);
-      this.send(executor, this.isEarlier || !needsDemand ? pong : { ...pong, waitingCpuMilli });
+      this.send(executor, this.isPreviousVersion || !needsDemand ? pong : { ...pong, waitingCpuMilli });
       this.core.handlePing(executor, message, now);
     }
     if (message.type === 'room') this.core.handleCapacity(executor, message, now);
@@ -154,11 +154,14 @@
     if (this.core.waitingTasks === 0 || now - this.demandSentAt < TIMES.pingMs) return;
     this.demandSentAt = now;
     const { waitingCpuMilli } = this.core;
-    const notice = { type: 'demand', waitingCpuMilli: this.isEarlier ? undefined : waitingCpuMilli } as const;
+    const notice = {
+      type: 'demand',
+      waitingCpuMilli: this.isPreviousVersion ? undefined : waitingCpuMilli,
+    } as const;
     for (const id of this.links.keys()) this.send(id, notice);
   }
 
-  private get isEarlier(): boolean {
+  private get isPreviousVersion(): boolean {
     return this.index < (this.scenario.earlierDispatchers ?? 0);
   }
 
@@ -166,7 +169,7 @@
     if (message.type === 'start') this.model.recordStart('starts');
     else if (message.type !== 'stop') this.model.recordControlMessage(message);
     const link = this.links.get(executor);
-    if (this.isCut || !link) return;
+    if (this.isPartitioned || !link) return;
     this.model.time.schedule(this.scenario.transitMs, () => link.executor.receive(link, message));
   }
 }
@@ -189,7 +192,7 @@
     steps: 0,
   };
   private readonly nextRandom: () => number;
-  private readonly due: number[] = DOMAINS.map(() => 0);
+  private readonly pendingJobs: number[] = DOMAINS.map(() => 0);
   private jobs = 0;
 
   constructor(readonly scenario: CapacityScenario) {
@@ -274,7 +277,7 @@
     for (const executor of this.executors) {
       const isAwaited = [...executor.links].some(
         ({ dispatcher }) =>
-          dispatcher.state === 'live' && !dispatcher.isCut && dispatcher.core.waitingTasks > 0,
+          dispatcher.state === 'live' && !dispatcher.isPartitioned && dispatcher.core.waitingTasks > 0,
       );
       if (isAwaited) idle += executor.readFreeShare() / this.executors.length;
     }
@@ -291,9 +294,9 @@
       peak += computeDemand((domain - middle) * PHASE_MS);
     DOMAINS.forEach((_, domain) => {
       const wave = computeDemand(now - peakAt - (domain - middle) * PHASE_MS) / peak;
-      this.due[domain] = (this.due[domain] ?? 0) + load * JOBS_PER_MS * wave;
-      while ((this.due[domain] ?? 0) > this.nextRandom()) {
-        this.due[domain] = (this.due[domain] ?? 0) - 1;
+      this.pendingJobs[domain] = (this.pendingJobs[domain] ?? 0) + load * JOBS_PER_MS * wave;
+      while ((this.pendingJobs[domain] ?? 0) > this.nextRandom()) {
+        this.pendingJobs[domain] = (this.pendingJobs[domain] ?? 0) - 1;
         this.submit(domain, now);
       }
     });
@@ -353,5 +356,5 @@
 }
 
 function computeDemand(ms: number): number {
-  return 1 + SWING * Math.cos((2 * Math.PI * ms) / PERIOD_MS);
+  return 1 + AMPLITUDE * Math.cos((2 * Math.PI * ms) / PERIOD_MS);
 }
--- a/test/fakes/CapacityModelExecutor.ts
+++ b/test/fakes/CapacityModelExecutor.ts
@@ -232,7 +232,7 @@
 
   private send({ dispatcher }: ModelLink, message: ModelExecutorMessage): void {
     if (message.type !== 'result') this.events.recordControlMessage(message);
-    if (dispatcher.isCut) return;
+    if (dispatcher.isPartitioned) return;
     this.time.schedule(this.options.transitMs, () => dispatcher.receive(this.id, message));
   }
 }
--- a/test/fakes/CongestionModel.ts
+++ b/test/fakes/CongestionModel.ts
@@ -94,7 +94,7 @@
   private readonly inFlight: InFlightMessage[] = [];
   private now = 0;
   private linkFreeAt = 0;
-  private due = 0;
+  private pendingJobs = 0;
   private jobs = 0;
 
   constructor(
@@ -141,8 +141,8 @@
     const { mbps, bodyBytes, load, triggerLoad } = this.scenario;
     const isTriggered = this.now >= TRIGGER_FROM_MS && this.now < TRIGGER_UNTIL_MS;
     const perSecond = (mbps * 125_000 * (isTriggered ? triggerLoad : load)) / (bodyBytes + START_BYTES);
-    this.due += (Math.min(perSecond, MAX_PER_S) * STEP_MS) / 1_000;
-    for (; this.due >= 1; this.due -= 1) this.submit();
+    this.pendingJobs += (Math.min(perSecond, MAX_PER_S) * STEP_MS) / 1_000;
+    for (; this.pendingJobs >= 1; this.pendingJobs -= 1) this.submit();
   }
 
   private submit(): void {
--- a/test/fakes/CrashModel.ts
+++ b/test/fakes/CrashModel.ts
@@ -263,7 +263,7 @@
       dispatcherIncarnation: dispatcher.incarnation,
       startedAt: this.now,
     };
-    const refusal = this.findRefusal(upstream, message);
+    const refusal = this.findRejection(upstream, message);
     if (refusal !== undefined) return this.sendResult(run, upstream, 'not-run', refusal);
     upstream.runs.push(run);
     const job = this.findJob(message.name.job);
@@ -272,7 +272,7 @@
     if (job.crashes >= 3) job.lateStarts += 1;
   }
 
-  private findRefusal(upstream: ModelUpstream, { isSuspect, resources }: StartOrder): string | undefined {
+  private findRejection(upstream: ModelUpstream, { isSuspect, resources }: StartOrder): string | undefined {
     if (upstream.downUntil > this.now) return 'no-upstream';
     if (isSuspect && upstream.runs.some(({ order }) => order.isSuspect)) return OTHER_SUSPECT;
     return this.findFree(upstream).cpuMilli < resources.cpuMilli ? 'full' : undefined;
--- a/test/fakes/DispatchSimulation.ts
+++ b/test/fakes/DispatchSimulation.ts
@@ -298,7 +298,7 @@
 
   private runWhenAwake(gate: ProcessGate, run: () => void): void {
     if (!gate.isFrozen) return run();
-    void gate.pass().then(run);
+    void gate.waitUntilAwake().then(run);
   }
 
   private killDispatcher(dead: SimDispatcher): void {
--- a/test/fakes/FaultSoak.ts
+++ b/test/fakes/FaultSoak.ts
@@ -59,7 +59,7 @@
   private readonly nextRandom: () => number;
   private readonly jobs: SoakJob[] = [];
   private readonly faults: string[] = [];
-  private readonly broken: string[] = [];
+  private readonly violations: string[] = [];
   private readonly pending: Promise<void>[] = [];
 
   constructor(private readonly options: SoakOptions) {
@@ -82,7 +82,7 @@
       await this.checkRecovery();
       if (this.hasDomains) await this.checkEvacuation();
       this.checkAnswers();
-      if (this.broken.length > 0) this.faults.push(`logs: ${await this.bench.saveLogs()}`);
+      if (this.violations.length > 0) this.faults.push(`logs: ${await this.bench.saveLogs()}`);
     } catch (cause) {
       const logs = await this.bench.saveLogs();
       throw new Error(`${String(cause)}; logs: ${logs}; ${this.faults.join(', ')}`, { cause });
@@ -90,8 +90,8 @@
       await this.bench.stop();
     }
     const { doubled, beyondCapacity } = this.bench;
-    for (const task of doubled) this.broken.push(`${task} ran twice at once`);
-    for (const task of beyondCapacity) this.broken.push(`${task} was started beyond the capacity`);
+    for (const task of doubled) this.violations.push(`${task} ran twice at once`);
+    for (const task of beyondCapacity) this.violations.push(`${task} was started beyond the capacity`);
     return this.report();
   }
 
@@ -142,9 +142,10 @@
         served = (await this.bench.submit(`entry-${number}`, id, 2, 20, CALLER_TIMEOUT_MS)).status === 200;
         if (!served) await sleep(100);
       }
-      if (!served) this.broken.push(`entry-${number} does not serve ${recoveryMs} ms after the last fault`);
+      if (!served)
+        this.violations.push(`entry-${number} does not serve ${recoveryMs} ms after the last fault`);
     }
-    await this.bench.waitUntilIdle().catch(() => this.broken.push('tasks run without a waiting caller'));
+    await this.bench.waitUntilIdle().catch(() => this.violations.push('tasks run without a waiting caller'));
   }
 
   /** Checks that an emptied failure domain gets no tasks and all jobs are served elsewhere. */
@@ -161,10 +162,11 @@
     for (let number = 1; number <= dispatchers; number += 1) {
       for (let at = 0; at < JOBS_AFTER; at += 1) {
         const { status } = await this.bench.submit(`entry-${number}`, `emptied${number}x${at}`, 2, 20);
-        if (status !== 200) this.broken.push(`entry-${number} answers ${status} while ${domain} is emptied`);
+        if (status !== 200)
+          this.violations.push(`entry-${number} answers ${status} while ${domain} is emptied`);
       }
     }
-    if (count() > before) this.broken.push(`tasks were started in ${domain}, which is emptied`);
+    if (count() > before) this.violations.push(`tasks were started in ${domain}, which is emptied`);
   }
 
   private checkAnswers(): void {
@@ -172,20 +174,20 @@
       for (const { status, body } of answers) this.checkAnswer(id, status, body);
       const isRefused = answers.every(({ status }) => status === 503 || status === 429);
       const hasRun = [...this.bench.starts.keys()].some((task) => task.startsWith(`${id}.`));
-      if (isRefused && hasRun) this.broken.push(`${id} has run though every submission was refused`);
+      if (isRefused && hasRun) this.violations.push(`${id} has run though every submission was refused`);
     }
   }
 
   private checkAnswer(id: string, status: number, body: string): void {
     const isKnown = [0, 200, 502, 503, 504].includes(status);
-    if (!isKnown) this.broken.push(`${id} was answered ${status}`);
+    if (!isKnown) this.violations.push(`${id} was answered ${status}`);
     if (status === 200 && body !== '{"state":"completed"}' && body !== '{"state":"failed"}')
-      this.broken.push(`${id} was answered with ${body}`);
+      this.violations.push(`${id} was answered with ${body}`);
   }
 
   private report(): SoakReport {
     const completed = this.jobs.filter(({ answers }) => answers.at(-1)?.status === 200).length;
     const { seed } = this.options;
-    return { seed, jobs: this.jobs.length, completed, faults: this.faults, broken: this.broken };
+    return { seed, jobs: this.jobs.length, completed, faults: this.faults, broken: this.violations };
   }
 }
--- a/test/fakes/ProcessGate.ts
+++ b/test/fakes/ProcessGate.ts
@@ -67,10 +67,10 @@
   override async sleep(ms: number): Promise<void> {
     const until = this.readSteady() + ms;
     await this.base.sleep(ms);
-    await this.pass();
+    await this.waitUntilAwake();
     while (this.readSteady() < until) {
       await this.base.sleep(until - this.readSteady());
-      await this.pass();
+      await this.waitUntilAwake();
     }
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** Waits until the process runs; never resolves for a dead process. */
-  async pass(): Promise<void> {
+  async waitUntilAwake(): Promise<void> {
     if (this.dead) await new Promise<never>(() => undefined);
     while (this.isFrozen) await this.base.sleep(STEP_MS);
   }
@@ -127,7 +127,7 @@
     try {
       return await answer;
     } finally {
-      await this.gate.pass();
+      await this.gate.waitUntilAwake();
     }
   }
 }
--- a/test/fakes/ScarceCapacityModel.ts
+++ b/test/fakes/ScarceCapacityModel.ts
@@ -70,7 +70,7 @@
   readonly lengthMs: number;
   readonly bursts: readonly ModelBurst[];
   /** Largest relative error of estimates. */
-  readonly estimateOff?: number;
+  readonly estimateError?: number;
   /** Number of executors whose upstreams take 1.5 times as long. */
   readonly slowExecutors?: number;
   readonly outage?: ModelOutage;
@@ -223,7 +223,7 @@
     const count = Math.max(1, Math.min(queue.width * 4, Math.round(queue.width * this.drawFactor(SPREAD))));
     const workMs = Math.min(queue.workMs * 4, queue.workMs * this.drawFactor(SPREAD));
     const works = Array.from({ length: count }, () => workMs * (1 + 0.15 * (2 * this.random() - 1)));
-    const off = 1 + (this.scenario.estimateOff ?? 0) * (2 * this.random() - 1);
+    const off = 1 + (this.scenario.estimateError ?? 0) * (2 * this.random() - 1);
     const chainMs = Math.max(...works);
     const job: ScarceCapacityJob = {
       queue: queue.name,
@@ -352,7 +352,7 @@
   large: { lengthMs: 12_000, bursts: [LARGE] },
   urgent: { lengthMs: 10_000, bursts: [URGENT] },
   both: { lengthMs: 12_000, bursts: BOTH },
-  'estimates off': { lengthMs: 12_000, bursts: BOTH, estimateOff: 0.4 },
+  'estimates off': { lengthMs: 12_000, bursts: BOTH, estimateError: 0.4 },
   flood: { lengthMs: 12_000, bursts: [FLOOD] },
   'room lost': { lengthMs: 12_000, bursts: BOTH, outage: { executors: 3, fromMs: 6_000, untilMs: 10_000 } },
   'slow third': { lengthMs: 12_000, bursts: BOTH, slowExecutors: 2 },
--- a/test/fakes/countService.ts
+++ b/test/fakes/countService.ts
@@ -47,11 +47,11 @@
     const fifth = bySize.slice(tenth.length, tenth.length + Math.ceil(own.length / 5));
     tenths.push(...tenth);
     fifths.push(...fifth);
-    queues[queue] = measureWorth(own);
+    queues[queue] = computeWorth(own);
     earned.push(queues[queue]);
-    sizes.push(measureWorth(tenth, own), measureWorth(fifth, own));
+    sizes.push(computeWorth(tenth, own), computeWorth(fifth, own));
     for (const part of [tenth, fifth])
-      leastShare = Math.min(leastShare, measureAnswered(part) / measureAnswered(own));
+      leastShare = Math.min(leastShare, computeAnsweredShare(part) / computeAnsweredShare(own));
   }
   const total = earned.reduce((sum, worth) => sum + worth, 0) / earned.length;
   const [worstQueue, worstSize] = [Math.min(...earned), Math.min(...sizes)];
@@ -77,7 +77,7 @@
 }
 
 /** Computes the earned share of the worth; a job's worth rises with its work relative to its queue's mean. */
-function measureWorth(jobs: readonly ScarceCapacityJob[], queue = jobs): number {
+function computeWorth(jobs: readonly ScarceCapacityJob[], queue = jobs): number {
   const meanWork = queue.reduce((sum, { work }) => sum + work, 0) / queue.length;
   let owed = 0;
   let earned = 0;
@@ -91,7 +91,7 @@
   return earned / owed;
 }
 
-function measureAnswered(jobs: readonly ScarceCapacityJob[]): number {
+function computeAnsweredShare(jobs: readonly ScarceCapacityJob[]): number {
   const answered = jobs.filter((job) => ['in-time', 'late'].includes(evaluateJob(job)));
   return answered.length / jobs.length;
 }
--- a/test/fakes/dispatchSimulationUpstreams.ts
+++ b/test/fakes/dispatchSimulationUpstreams.ts
@@ -15,9 +15,9 @@
 const FIRST_CLOCK_MS = 500_000;
 const CLOCK_STEP_MS = 1_000;
 /** Downtime of an upstream after a crash by a task, ms. */
-const CRASHED_MS = 3_000;
+const DOWN_MS = 3_000;
 /** Reports of an earlier incarnation; more than any run sends. */
-const MANY_REPORTS = 1_000_000;
+const EARLIER_REPORTS = 1_000_000;
 /** Longest time after a resume for which an earlier lease is valid, ms. */
 const REMAINING_LEASE_MS = 700;
 
@@ -90,7 +90,7 @@
       if (!executor.upstream.fake.refuses || this.crashed.has(executor)) continue;
       this.crashed.add(executor);
       this.crashedAt.push(this.clock.now());
-      void this.clock.sleep(CRASHED_MS).then(() => {
+      void this.clock.sleep(DOWN_MS).then(() => {
         this.crashed.delete(executor);
         this.begin(executor);
         executor.upstream.fake.poison = this.poison;
@@ -140,7 +140,7 @@
 
   /** Returns the next report number of an incarnation; earlier incarnations have sent many reports. */
   private countInIncarnation(upstream: SimUpstream, incarnation: number): number {
-    if (incarnation !== upstream.incarnation) return MANY_REPORTS + this.sequence;
+    if (incarnation !== upstream.incarnation) return EARLIER_REPORTS + this.sequence;
     upstream.reports += 1;
     return upstream.reports;
   }
--- a/test/foreignWriters.test.ts
+++ b/test/foreignWriters.test.ts
@@ -15,7 +15,7 @@
 import { StoreStandin } from '../standins/protocol/StoreStandin.js';
 
 /** Required fields of a heartbeat. */
-const NEEDED = [
+const REQUIRED_FIELDS = [
   'service',
   'address',
   'zone',
@@ -27,11 +27,11 @@
   'cold_remaining_ms',
 ];
 /** Required numbers of a heartbeat; a missing one must not count as 0. */
-const COUNTED = ['clock_ms', 'call_seq'];
+const REQUIRED_NUMBERS = ['clock_ms', 'call_seq'];
 /** Loopback address of this process, so that no other process uses the port. */
 const CONTROL = `127.41.${process.pid % 250}.1:8166`;
 /** Value of a type that no field has. */
-const ODD = { odd: true };
+const INVALID = { odd: true };
 /** Not UTF-8. */
 const UNREADABLE = Buffer.from([0x7b, 0x22, 0xff, 0xfe, 0x22, 0x3a, 0x31, 0x7d]);
 
@@ -68,11 +68,12 @@
 
     it('add no upstream', async () => {
       const bodies: (Buffer | string)[] = [UNREADABLE, Buffer.from([0]), '', 'null', '[]', '{', '"ready"'];
-      for (const field of [...NEEDED, ...COUNTED]) {
+      for (const field of [...REQUIRED_FIELDS, ...REQUIRED_NUMBERS]) {
         bodies.push(JSON.stringify({ ...HEARTBEAT, [field]: undefined }));
         bodies.push(JSON.stringify({ ...HEARTBEAT, [field]: null }));
       }
-      for (const field of Object.keys(HEARTBEAT)) bodies.push(JSON.stringify({ ...HEARTBEAT, [field]: ODD }));
+      for (const field of Object.keys(HEARTBEAT))
+        bodies.push(JSON.stringify({ ...HEARTBEAT, [field]: INVALID }));
       bodies.push(JSON.stringify({ ...HEARTBEAT, state: 'paused' }));
       bodies.push(JSON.stringify({ ...HEARTBEAT, service: '' }));
       bodies.push(JSON.stringify({ ...HEARTBEAT, address: '10.0.0.1:99999' }));
@@ -89,7 +90,7 @@
       expect(await send(BEAT_PREFIX, JSON.stringify(HEARTBEAT))).to.equal(400);
       expect(await send(`${LEAVE_PREFIX}i-1`, UNREADABLE)).to.equal(400);
       expect([reports, left, rejected]).to.deep.equal([[], [], bodies.length + 2]);
-      expect(await send(`${BEAT_PREFIX}i-1`, JSON.stringify({ ...HEARTBEAT, new: ODD }))).to.equal(200);
+      expect(await send(`${BEAT_PREFIX}i-1`, JSON.stringify({ ...HEARTBEAT, new: INVALID }))).to.equal(200);
       expect(reports.map(({ id }) => id)).to.deep.equal(['i-1']);
     });
   });
--- a/test/hostileCallers.test.ts
+++ b/test/hostileCallers.test.ts
@@ -9,7 +9,7 @@
 /** Connection limit of the dispatcher in the last tests. */
 const MAX_CONNECTIONS = 50;
 /** Duration of the job that is open meanwhile, ms. */
-const VICTIM_MS = 600;
+const OPEN_JOB_MS = 600;
 
 interface HostileBody {
   readonly title: string;
@@ -100,7 +100,7 @@
 
   for (const { title, body, status, pointer } of BODIES) {
     it(`refuses ${title}, reports its position, and serves other jobs`, async () => {
-      const victim = bench.submit('entry-1', `victim-${title.length}-${pointer.length}`, 1, VICTIM_MS);
+      const victim = bench.submit('entry-1', `victim-${title.length}-${pointer.length}`, 1, OPEN_JOB_MS);
       const whole = { best_effort: true, ...(body as object) };
       const answer = await bench.post('entry-1', '/q/hostile', whole, 3_000);
       expect(answer.status, answer.body).to.equal(status);
--- a/test/operatorUpdates.test.ts
+++ b/test/operatorUpdates.test.ts
@@ -6,7 +6,7 @@
 import { buildRoutes } from './fakes/buildRoutes.js';
 import { StoreStandin } from '../standins/protocol/StoreStandin.js';
 
-const LOOK_MS = 10;
+const POLL_MS = 10;
 
 describe('the reader of operator records', function () {
   this.timeout(20_000);
@@ -46,7 +46,7 @@
   }
 
   async function waitFor(holds: () => boolean): Promise<void> {
-    while (!holds()) await new Promise((resolve) => setTimeout(resolve, LOOK_MS));
+    while (!holds()) await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 
   async function waitForList(list: string): Promise<void> {
--- a/test/restartedUpstreams.test.ts
+++ b/test/restartedUpstreams.test.ts
@@ -13,7 +13,7 @@
 /** Reports of the earlier incarnation, so that its sequence is ahead of the new one. */
 const EARLIER_REPORTS = 12;
 /** Time for an acknowledged report to reach the dispatchers, ms. */
-const HEARD_MS = 600;
+const PROPAGATION_MS = 600;
 /** More tasks than fit the other upstream. */
 const WIDE = 6;
 
@@ -50,7 +50,7 @@
     runner.state = 'draining';
     const reports = runner.beats;
     await bench.waitFor(() => runner.beats > reports);
-    await sleep(HEARD_MS);
+    await sleep(PROPAGATION_MS);
     const before = bench.startsByRunner.get('i-1');
     expect((await bench.submit('entry-1', 'later', WIDE, 100)).status).to.equal(200);
     expect(bench.startsByRunner.get('i-1')).to.equal(before);
--- a/test/scarceCapacity.test.ts
+++ b/test/scarceCapacity.test.ts
@@ -16,16 +16,16 @@
 /** Variation between runs at normal load and under light overload. */
 const NOISE = 0.01;
 /** Longest wait of a job that is refused immediately, ms. */
-const AT_ONCE_MS = 20;
+const IMMEDIATE_MS = 20;
 
-const TODAY: Partial<ScarceCapacityRun> = {};
-const FAIR: Partial<ScarceCapacityRun> = { createOrder: () => new FairOrder() };
-const NEW: Partial<ScarceCapacityRun> = {
-  ...FAIR,
+const DEFAULT_POLICIES: Partial<ScarceCapacityRun> = {};
+const FAIR_ORDER: Partial<ScarceCapacityRun> = { createOrder: () => new FairOrder() };
+const FAIR_FORECAST: Partial<ScarceCapacityRun> = {
+  ...FAIR_ORDER,
   createAdmission: () => new ForecastAdmission(createRandom(1)),
 };
 
-function play(
+function runModel(
   load: Omit<ScarceCapacityRun, 'seed'>,
   policies: Partial<ScarceCapacityRun>,
   seeds = SEEDS,
@@ -33,10 +33,10 @@
   return seeds.flatMap((seed) => new ScarceCapacityModel({ ...load, ...policies, seed }).run().jobs);
 }
 
-function playLoad(name: string, policies: Partial<ScarceCapacityRun>): ServiceSummary {
+function runLoad(name: string, policies: Partial<ScarceCapacityRun>): ServiceSummary {
   const load = LOADS[name];
   if (!load) throw new Error(`unknown load: ${name}`);
-  return countService(play(load, policies));
+  return countService(runModel(load, policies));
 }
 
 /** Counts the jobs that arrived in an interval by verdict. */
@@ -66,7 +66,7 @@
   this.timeout(30_000);
 
   it('refuse no job at normal load, and complete all in time', () => {
-    const { total, refusedAtOnce, refusedLater } = playLoad('calm', NEW);
+    const { total, refusedAtOnce, refusedLater } = runLoad('calm', FAIR_FORECAST);
     expect(total).to.be.at.least(1 - NOISE);
     expect(refusedAtOnce + refusedLater).to.equal(0);
   });
@@ -74,7 +74,7 @@
   // One queue floods the capacity, or a third of the upstreams is slow during two bursts.
   for (const name of ['flood', 'slow third']) {
     it(`serve more in total and of the worst queue under ${name}`, () => {
-      const [today, now] = [playLoad(name, TODAY), playLoad(name, NEW)];
+      const [today, now] = [runLoad(name, DEFAULT_POLICIES), runLoad(name, FAIR_FORECAST)];
       expect(now.total).to.be.above(today.total);
       expect(now.worstQueue).to.be.above(today.worstQueue);
       expect(now.useless + now.interrupted).to.be.below(today.useless + today.interrupted);
@@ -82,18 +82,22 @@
   }
 
   it('serve more of the worst queue when half of the capacity is lost during bursts', () => {
-    expect(playLoad('room lost', NEW).worstQueue).to.be.above(playLoad('room lost', TODAY).worstQueue);
+    expect(runLoad('room lost', FAIR_FORECAST).worstQueue).to.be.above(
+      runLoad('room lost', DEFAULT_POLICIES).worstQueue,
+    );
   });
 
   for (const name of Object.keys(LOADS)) {
     it(`serve no size class less than half as often as its queue under ${name}`, () => {
-      expect(playLoad(name, NEW).leastShare).to.be.at.least(0.5);
+      expect(runLoad(name, FAIR_FORECAST).leastShare).to.be.at.least(0.5);
     });
   }
 
   for (const name of Object.keys(LOADS)) {
     it(`are worth no less under ${name} than the default policies, apart from noise`, () => {
-      expect(playLoad(name, NEW).worth).to.be.at.least(playLoad(name, TODAY).worth - NOISE);
+      expect(runLoad(name, FAIR_FORECAST).worth).to.be.at.least(
+        runLoad(name, DEFAULT_POLICIES).worth - NOISE,
+      );
     });
   }
 
@@ -103,7 +107,13 @@
         fc.integer({ min: 0, max: 1_000 }),
         fc.double({ min: 0.5, max: 2, noNaN: true }),
         (seed, load) => {
-          const model = new ScarceCapacityModel({ lengthMs: 3_000, bursts: [], seed, load, ...NEW }).run();
+          const model = new ScarceCapacityModel({
+            lengthMs: 3_000,
+            bursts: [],
+            seed,
+            load,
+            ...FAIR_FORECAST,
+          }).run();
           expect(model.idleAt).to.deep.equal([]);
         },
       ),
@@ -120,8 +130,8 @@
         (seed, load) => {
           const base = { lengthMs: 5_000, bursts: [], load };
           const seeds = [seed, seed + 1, seed + 2, seed + 3];
-          const without = play(base, FAIR, seeds);
-          const inTime = sumWorkInTime(play(base, NEW, seeds));
+          const without = runModel(base, FAIR_ORDER, seeds);
+          const inTime = sumWorkInTime(runModel(base, FAIR_FORECAST, seeds));
           expect(inTime).to.be.at.least(sumWorkInTime(without) - sumWork(without) / 50);
         },
       ),
@@ -135,9 +145,9 @@
     const base = { lengthMs: 8_000, bursts: [burst] };
     const outage = { executors: 3, fromMs: 2_000, untilMs: 4_000 };
     for (const failure of [{ outage }, { emptied: { executors: 2, fromMs: 2_000 } }]) {
-      const jobs = play({ ...base, ...failure }, NEW);
+      const jobs = runModel({ ...base, ...failure }, FAIR_FORECAST);
       expect(jobs.filter(({ outcome }) => outcome === undefined)).to.have.lengthOf(0);
-      const today = play({ ...base, ...failure }, TODAY);
+      const today = runModel({ ...base, ...failure }, DEFAULT_POLICIES);
       expect(countService(jobs).worth).to.be.at.least(countService(today).worth - NOISE);
     }
   });
@@ -145,7 +155,7 @@
   // All executors fail for 1.5 s while callers continue to submit.
   it('keep jobs that can still be in time when all capacity returns, and are normal two seconds later', () => {
     const outage = { executors: 6, fromMs: 3_000, untilMs: 4_500 };
-    const jobs = play({ lengthMs: 8_000, bursts: [], outage }, NEW);
+    const jobs = runModel({ lengthMs: 8_000, bursts: [], outage }, FAIR_FORECAST);
     const back = countVerdicts(jobs, 4_400, 4_500);
     expect(back['in-time'] ?? 0).to.be.above(0);
     const later = countVerdicts(jobs, 6_500, 8_000);
@@ -154,7 +164,7 @@
     ).to.be.at.least(1 - NOISE);
     const justBefore = jobs.filter(({ arrivedAt }) => arrivedAt >= 4_450 && arrivedAt < 4_500);
     const refusedAtOnce = justBefore.filter(
-      (job) => evaluateJob(job) === 'refused' && job.answeredAt - job.arrivedAt <= AT_ONCE_MS,
+      (job) => evaluateJob(job) === 'refused' && job.answeredAt - job.arrivedAt <= IMMEDIATE_MS,
     );
     expect(refusedAtOnce).to.have.lengthOf(0);
   });
--- a/test/suspendedVms.test.ts
+++ b/test/suspendedVms.test.ts
@@ -15,8 +15,8 @@
 import { GatedUpstreamApi, ProcessGate } from './fakes/ProcessGate.js';
 import { buildStartOrder, buildUpstreamReport } from './fakes/upstreamFixtures.js';
 
-const ENTRY = 'entry@1';
-const OTHER_ENTRY = 'other@1';
+const DISPATCHER = 'entry@1';
+const OTHER_DISPATCHER = 'other@1';
 const SUSPENDED_MS = 3_000;
 const ORPHAN_AFTER_MS = 520;
 const LEASE_MS = 585;
@@ -28,19 +28,19 @@
   let simulation: FakeClock;
   let vm: ProcessGate;
   let upstream: FakeUpstream;
-  let core: Executor;
+  let executor: Executor;
   let results: string[];
   /** Lease of the upstream when the latest end was reported. */
   let leaseAtEnd: number;
   let logged: string[];
 
   /** Creates an executor with a live dispatcher, and its upstream on the same VM or on another. */
-  async function createCore(isUpstreamThere: boolean): Promise<void> {
+  async function createExecutor(isUpstreamThere: boolean): Promise<void> {
     upstream = new FakeUpstream(
       isUpstreamThere ? { now: () => vm.readSteady(), sleep: (ms) => vm.sleep(ms) } : simulation,
     );
     upstream.taskMs = LONG_TASK_MS;
-    core = new Executor(
+    executor = new Executor(
       { agent: 'agent', life: '1', failureDomain: 'x', startedAt: 1_000_000 },
       { leaseMs: LEASE_MS, maxLeaseMs: 1_000, stopMs: 50, orphanAfterMs: ORPHAN_AFTER_MS },
       vm,
@@ -57,9 +57,9 @@
         log: (event) => void logged.push(event),
       },
     );
-    core.handleReport(buildUpstreamReport({ clockMs: upstream.clockMs }));
+    executor.handleReport(buildUpstreamReport({ clockMs: upstream.clockMs }));
     await simulation.advance(50);
-    core.handleWelcome(ENTRY, vm.now());
+    executor.handleWelcome(DISPATCHER, vm.now());
   }
 
   /** Suspends the VM and advances until just before its resume. */
@@ -68,8 +68,8 @@
     await simulation.advance(SUSPENDED_MS - 1);
   }
 
-  function echo(dispatcher: string): void {
-    core.handlePong(dispatcher, {
+  function sendPong(dispatcher: string): void {
+    executor.handlePong(dispatcher, {
       type: 'pong',
       at: vm.now(),
       version: 1,
@@ -85,33 +85,33 @@
     logged = [];
   });
 
-  afterEach(() => core.close());
+  afterEach(() => executor.close());
 
   // The dispatcher has treated the start as expired meanwhile and started the task elsewhere.
   it('does not apply an expired start from its socket', async () => {
-    await createCore(false);
+    await createExecutor(false);
     const order = buildStartOrder(0, { expiresAt: vm.now() + START_EXPIRY_MS });
     await suspend();
     await simulation.advance(1);
-    core.handleStart(ENTRY, order);
+    executor.handleStart(DISPATCHER, order);
     await simulation.advance(20);
     expect([results, upstream.starts]).to.deep.equal([['0 not-run expired'], 0]);
   });
 
   // The last pong is from before the suspension, and the dispatcher may have ended its jobs since.
   it('accepts no start from a dispatcher without a pong since the resume', async () => {
-    await createCore(false);
+    await createExecutor(false);
     await suspend();
     await simulation.advance(1);
-    core.handleStart(ENTRY, buildStartOrder(0));
+    executor.handleStart(DISPATCHER, buildStartOrder(0));
     await simulation.advance(20);
     expect([results, upstream.starts]).to.deep.equal([['0 not-run entry-unproven'], 0]);
   });
 
   // The upstream was suspended too, so its leases are still valid, but the task runs elsewhere by now.
   it('stops its tasks after a resume before any lease is renewed', async () => {
-    await createCore(true);
-    core.handleStart(ENTRY, buildStartOrder(0));
+    await createExecutor(true);
+    executor.handleStart(DISPATCHER, buildStartOrder(0));
     await simulation.advance(100);
     const { leaseUntil } = upstream;
     await suspend();
@@ -123,41 +123,41 @@
   // A repeated start grants a new lease, so the task would start seconds after it was treated as ended.
   it('does not repeat an unanswered start after a resume, whenever it was suspended', async () => {
     for (let offsetMs = 5; offsetMs <= 300; offsetMs += 5) {
-      await createCore(true);
+      await createExecutor(true);
       upstream.fates.push('lost', 'lost', 'lost', 'lost');
-      core.handleStart(ENTRY, buildStartOrder(0));
+      executor.handleStart(DISPATCHER, buildStartOrder(0));
       await simulation.advance(offsetMs);
       upstream.fates.length = 0;
       await suspend();
       await simulation.advance(300);
       expect(upstream.starts, `suspended after ${offsetMs} ms`).to.equal(0);
-      core.close();
+      executor.close();
     }
   });
 
   // A pong before the next liveness check is valid for new starts only.
   it('stops earlier tasks also for a dispatcher that answers a ping at once', async () => {
-    await createCore(true);
-    core.handleStart(ENTRY, buildStartOrder(0));
+    await createExecutor(true);
+    executor.handleStart(DISPATCHER, buildStartOrder(0));
     await simulation.advance(100);
     await suspend();
     vm.wake();
-    echo(ENTRY);
+    sendPong(DISPATCHER);
     await simulation.advance(100);
     expect(results).to.deep.equal(['0 stopped entry-silent']);
   });
 
   // A start renews the lease of all tasks, so a start of one dispatcher would extend tasks of another.
   it('stops tasks of an unresponsive dispatcher before it starts a task of another', async () => {
-    await createCore(true);
-    core.handleStart(OTHER_ENTRY, buildStartOrder(0));
-    core.handleWelcome(OTHER_ENTRY, vm.now());
-    core.handleStart(OTHER_ENTRY, buildStartOrder(1));
+    await createExecutor(true);
+    executor.handleStart(OTHER_DISPATCHER, buildStartOrder(0));
+    executor.handleWelcome(OTHER_DISPATCHER, vm.now());
+    executor.handleStart(OTHER_DISPATCHER, buildStartOrder(1));
     await simulation.advance(100);
     await suspend();
     vm.wake();
-    echo(ENTRY);
-    core.handleStart(ENTRY, buildStartOrder(2));
+    sendPong(DISPATCHER);
+    executor.handleStart(DISPATCHER, buildStartOrder(2));
     await simulation.advance(100);
     expect(results.slice(1)).to.deep.equal(['1 stopped entry-silent']);
     expect([...upstream.running.keys()]).to.deep.equal(['job/0/2']);
@@ -165,15 +165,15 @@
 
   // Between two liveness checks, without a suspension, a start must not extend tasks that are due to be stopped.
   it('stops tasks of an unresponsive dispatcher also when a start arrives before the next liveness check', async () => {
-    await createCore(true);
-    core.handleWelcome(OTHER_ENTRY, vm.now());
-    core.handleStart(OTHER_ENTRY, buildStartOrder(1));
+    await createExecutor(true);
+    executor.handleWelcome(OTHER_DISPATCHER, vm.now());
+    executor.handleStart(OTHER_DISPATCHER, buildStartOrder(1));
     await simulation.advance(ORPHAN_AFTER_MS - 20);
-    echo(ENTRY);
+    sendPong(DISPATCHER);
     upstream.silent = true;
     await simulation.advance(30);
-    core.handleStart(ENTRY, buildStartOrder(2));
-    expect(core.buildHello(OTHER_ENTRY).holding).to.have.length(1);
+    executor.handleStart(DISPATCHER, buildStartOrder(2));
+    expect(executor.buildHello(OTHER_DISPATCHER).holding).to.have.length(1);
     expect(logged).to.include('entry-silent');
   });
 
@@ -181,9 +181,9 @@
   for (const isUpstreamThere of [true, false]) {
     it(`reports tasks as lost only once they cannot run, upstream on ${isUpstreamThere ? 'the same' : 'another'} VM`, async () => {
       for (let offsetMs = 5; offsetMs <= 700; offsetMs += 35) {
-        await createCore(isUpstreamThere);
+        await createExecutor(isUpstreamThere);
         results.length = 0;
-        core.handleStart(ENTRY, buildStartOrder(0));
+        executor.handleStart(DISPATCHER, buildStartOrder(0));
         await simulation.advance(100);
         upstream.silent = true;
         await simulation.advance(offsetMs);
@@ -191,13 +191,13 @@
         while (results.length === 0) await simulation.advance(5);
         upstream.applyTime();
         expect(upstream.running.size, `suspended after ${offsetMs} ms`).to.equal(0);
-        core.close();
+        executor.close();
       }
     });
   }
 
   it('takes increasing fencing tokens across a suspension', async () => {
-    await createCore(false);
+    await createExecutor(false);
     const tokens = new FencingTokens(1_000_000, vm);
     const before = tokens.take();
     await suspend();
@@ -207,7 +207,7 @@
 
   // Executors have stopped its tasks meanwhile, and callers may have moved to other dispatchers.
   it('interrupts the open jobs of its dispatcher', async () => {
-    await createCore(false);
+    await createExecutor(false);
     const caller = new FakeCaller();
     const dispatcher = new Dispatcher(
       { pingMs: PING_MS, ...createPolicies(), nextRandom: () => 0.5 },
