--- a/test/capacityByDemand.test.ts
+++ b/test/capacityByDemand.test.ts
@@ -58,9 +58,9 @@
   });
 
   it('serve as many jobs in time as with `open` at half load', async () => {
-    const today = await runModel({ sharing: 'open', load: 0.5 });
+    const baseline = await runModel({ sharing: 'open', load: 0.5 });
     expect(computeInTimeShare(await runModel({ load: 0.5 }))).to.be.greaterThan(
-      computeInTimeShare(today) - 0.01,
+      computeInTimeShare(baseline) - 0.01,
     );
   });
 
--- a/test/fakes/AddressUpstreamApi.ts
+++ b/test/fakes/AddressUpstreamApi.ts
@@ -31,6 +31,6 @@
   }
 
   override close(): void {
-    // Nothing is open.
+    // There is no connection to close.
   }
 }
--- a/test/fakes/DispatchSimulation.ts
+++ b/test/fakes/DispatchSimulation.ts
@@ -374,12 +374,12 @@
     for (const [key, link] of [...this.links]) {
       if (this.isCut(key) || link.silent) continue;
       while (!link.broken && !link.dispatcher.gate.isFrozen && (link.forth[0]?.at ?? Infinity) <= now) {
-        const parcel = link.forth.shift();
-        if (parcel) this.receiveAtDispatcher(link, parcel.message, link.dispatcher.gate.now());
+        const delivery = link.forth.shift();
+        if (delivery) this.receiveAtDispatcher(link, delivery.message, link.dispatcher.gate.now());
       }
       while (!link.broken && !link.executor.gate.isFrozen && (link.back[0]?.at ?? Infinity) <= now) {
-        const parcel = link.back.shift();
-        if (parcel) this.receiveAtExecutor(link, parcel.message);
+        const delivery = link.back.shift();
+        if (delivery) this.receiveAtExecutor(link, delivery.message);
       }
     }
   }
--- a/test/fakes/FakeUpstream.ts
+++ b/test/fakes/FakeUpstream.ts
@@ -166,7 +166,7 @@
   }
 
   override close(): void {
-    // Nothing is open.
+    // There is no connection to close.
   }
 
   /** Starts a run on behalf of an earlier incarnation of the executor. */
--- a/test/fakes/FaultSoak.ts
+++ b/test/fakes/FaultSoak.ts
@@ -90,7 +90,7 @@
       await this.bench.stop();
     }
     const { doubled, beyondCapacity } = this.bench;
-    for (const task of doubled) this.violations.push(`${task} ran twice at once`);
+    for (const task of doubled) this.violations.push(`${task} ran twice at the same time`);
     for (const task of beyondCapacity) this.violations.push(`${task} was started beyond the capacity`);
     return this.report();
   }
--- a/test/fakes/ModelUpstream.ts
+++ b/test/fakes/ModelUpstream.ts
@@ -67,7 +67,7 @@
   }
 
   override close(): void {
-    // Nothing is open.
+    // There is no connection to close.
   }
 
   private waitForEnd(waitMs: number): Promise<void> {
--- a/test/fakes/PlatformBench.ts
+++ b/test/fakes/PlatformBench.ts
@@ -46,7 +46,7 @@
   readonly atWork = new Map<string, number>();
   /** Number of starts of each task. */
   readonly starts = new Map<string, number>();
-  /** Tasks that ran twice at once. */
+  /** Tasks that ran twice at the same time. */
   readonly doubled: string[] = [];
   /** Tasks that were started beyond their runner's capacity. */
   readonly beyondCapacity: string[] = [];
@@ -252,10 +252,7 @@
 
   /** Waits until no task runs. */
   async waitUntilIdle(): Promise<void> {
-    await this.waitFor(
-      () => [...this.atWork.values()].every((count) => count === 0),
-      'that no task is at work',
-    );
+    await this.waitFor(() => [...this.atWork.values()].every((count) => count === 0), 'that no task runs');
   }
 
   /** Opens a caller's connection and writes raw text to it. */
--- a/test/fakes/ProcessGate.ts
+++ b/test/fakes/ProcessGate.ts
@@ -120,7 +120,7 @@
   }
 
   override close(): void {
-    // Nothing is open.
+    // There is no connection to close.
   }
 
   private async pass<Answer>(answer: Promise<Answer>): Promise<Answer> {
--- a/test/fakes/checkDispatchSimulation.ts
+++ b/test/fakes/checkDispatchSimulation.ts
@@ -18,7 +18,7 @@
 
 /** Checks that no task runs twice, beyond capacity, or longer than the resubmit delay after its callers left. */
 export function checkRuns(executors: readonly SimExecutor[], jobs: readonly SimJob[], now: number): void {
-  const atWork = new Set<string>();
+  const running = new Set<string>();
   for (const { upstream } of executors) {
     const { fake } = upstream;
     fake.applyTime();
@@ -33,8 +33,8 @@
       if (!job) throw new Error(`${name.job} was never submitted`);
       job.started = true;
       if (now < upstream.uncertainUntil) continue;
-      if (atWork.has(key)) throw new Error(`${key} runs twice at once`);
-      atWork.add(key);
+      if (running.has(key)) throw new Error(`${key} runs twice at the same time`);
+      running.add(key);
       const waits = job.callers.some(({ leftAt }) => leftAt === undefined || now < leftAt + RESUBMIT_MS);
       if (!waits) throw new Error(`${key} runs though its callers left long ago`);
     }
--- a/test/fakes/dispatchSimulationUpstreams.ts
+++ b/test/fakes/dispatchSimulationUpstreams.ts
@@ -129,9 +129,9 @@
   }
 
   /** Opens a client of the incarnation that has reported itself. */
-  openApi(id: string, findAgent: () => SimExecutor): UpstreamApi {
-    const { upstream } = findAgent();
-    if (this.keepsIds) return new AddressUpstreamApi(() => findAgent().upstream.fake);
+  openApi(id: string, findExecutor: () => SimExecutor): UpstreamApi {
+    const { upstream } = findExecutor();
+    if (this.keepsIds) return new AddressUpstreamApi(() => findExecutor().upstream.fake);
     if (id === upstream.id) return upstream.fake;
     const gone = new FakeUpstream(this.clock);
     gone.isReplaced = true;
--- a/test/foreignWriters.test.ts
+++ b/test/foreignWriters.test.ts
@@ -32,7 +32,7 @@
 const CONTROL = `127.41.${process.pid % 250}.1:8166`;
 /** Value of a type that no field has. */
 const INVALID = { odd: true };
-/** Not UTF-8. */
+/** Invalid UTF-8. */
 const UNREADABLE = Buffer.from([0x7b, 0x22, 0xff, 0xfe, 0x22, 0x3a, 0x31, 0x7d]);
 
 describe('foreign writers', function () {
--- a/test/scarceCapacity.test.ts
+++ b/test/scarceCapacity.test.ts
@@ -74,10 +74,10 @@
   // One queue floods the capacity, or a third of the upstreams is slow during two bursts.
   for (const name of ['flood', 'slow third']) {
     it(`serve more in total and of the worst queue under ${name}`, () => {
-      const [today, now] = [runLoad(name, DEFAULT_POLICIES), runLoad(name, FAIR_FORECAST)];
-      expect(now.total).to.be.above(today.total);
-      expect(now.worstQueue).to.be.above(today.worstQueue);
-      expect(now.useless + now.interrupted).to.be.below(today.useless + today.interrupted);
+      const [baseline, now] = [runLoad(name, DEFAULT_POLICIES), runLoad(name, FAIR_FORECAST)];
+      expect(now.total).to.be.above(baseline.total);
+      expect(now.worstQueue).to.be.above(baseline.worstQueue);
+      expect(now.useless + now.interrupted).to.be.below(baseline.useless + baseline.interrupted);
     });
   }
 
@@ -147,8 +147,8 @@
     for (const failure of [{ outage }, { emptied: { executors: 2, fromMs: 2_000 } }]) {
       const jobs = runModel({ ...base, ...failure }, FAIR_FORECAST);
       expect(jobs.filter(({ outcome }) => outcome === undefined)).to.have.lengthOf(0);
-      const today = runModel({ ...base, ...failure }, DEFAULT_POLICIES);
-      expect(countService(jobs).worth).to.be.at.least(countService(today).worth - NOISE);
+      const baseline = runModel({ ...base, ...failure }, DEFAULT_POLICIES);
+      expect(countService(jobs).worth).to.be.at.least(countService(baseline).worth - NOISE);
     }
   });
 
--- a/test/suspendedVms.test.ts
+++ b/test/suspendedVms.test.ts
@@ -25,7 +25,7 @@
 const LONG_TASK_MS = 60_000;
 
 describe('a VM that is suspended', () => {
-  let simulation: FakeClock;
+  let clock: FakeClock;
   let vm: ProcessGate;
   let upstream: FakeUpstream;
   let executor: Executor;
@@ -37,7 +37,7 @@
   /** Creates an executor with a live dispatcher, and its upstream on the same VM or on another. */
   async function createExecutor(isUpstreamThere: boolean): Promise<void> {
     upstream = new FakeUpstream(
-      isUpstreamThere ? { now: () => vm.readSteady(), sleep: (ms) => vm.sleep(ms) } : simulation,
+      isUpstreamThere ? { now: () => vm.readSteady(), sleep: (ms) => vm.sleep(ms) } : clock,
     );
     upstream.taskMs = LONG_TASK_MS;
     executor = new Executor(
@@ -58,14 +58,14 @@
       },
     );
     executor.handleReport(buildUpstreamReport({ clockMs: upstream.clockMs }));
-    await simulation.advance(50);
+    await clock.advance(50);
     executor.handleWelcome(DISPATCHER, vm.now());
   }
 
   /** Suspends the VM and advances until just before its resume. */
   async function suspend(): Promise<void> {
     vm.suspend(SUSPENDED_MS);
-    await simulation.advance(SUSPENDED_MS - 1);
+    await clock.advance(SUSPENDED_MS - 1);
   }
 
   function sendPong(dispatcher: string): void {
@@ -79,8 +79,8 @@
   }
 
   beforeEach(() => {
-    simulation = new FakeClock();
-    vm = new ProcessGate(simulation);
+    clock = new FakeClock();
+    vm = new ProcessGate(clock);
     results = [];
     logged = [];
   });
@@ -92,9 +92,9 @@
     await createExecutor(false);
     const order = buildStartOrder(0, { expiresAt: vm.now() + START_EXPIRY_MS });
     await suspend();
-    await simulation.advance(1);
+    await clock.advance(1);
     executor.handleStart(DISPATCHER, order);
-    await simulation.advance(20);
+    await clock.advance(20);
     expect([results, upstream.starts]).to.deep.equal([['0 not-run expired'], 0]);
   });
 
@@ -102,9 +102,9 @@
   it('accepts no start from a dispatcher without a pong since the resume', async () => {
     await createExecutor(false);
     await suspend();
-    await simulation.advance(1);
+    await clock.advance(1);
     executor.handleStart(DISPATCHER, buildStartOrder(0));
-    await simulation.advance(20);
+    await clock.advance(20);
     expect([results, upstream.starts]).to.deep.equal([['0 not-run entry-unproven'], 0]);
   });
 
@@ -112,10 +112,10 @@
   it('stops its tasks after a resume before any lease is renewed', async () => {
     await createExecutor(true);
     executor.handleStart(DISPATCHER, buildStartOrder(0));
-    await simulation.advance(100);
+    await clock.advance(100);
     const { leaseUntil } = upstream;
     await suspend();
-    await simulation.advance(100);
+    await clock.advance(100);
     expect(results).to.deep.equal(['0 stopped entry-silent']);
     expect(leaseAtEnd).to.equal(leaseUntil);
   });
@@ -126,10 +126,10 @@
       await createExecutor(true);
       upstream.fates.push('lost', 'lost', 'lost', 'lost');
       executor.handleStart(DISPATCHER, buildStartOrder(0));
-      await simulation.advance(offsetMs);
+      await clock.advance(offsetMs);
       upstream.fates.length = 0;
       await suspend();
-      await simulation.advance(300);
+      await clock.advance(300);
       expect(upstream.starts, `suspended after ${offsetMs} ms`).to.equal(0);
       executor.close();
     }
@@ -139,11 +139,11 @@
   it('stops earlier tasks also for a dispatcher that answers a ping at once', async () => {
     await createExecutor(true);
     executor.handleStart(DISPATCHER, buildStartOrder(0));
-    await simulation.advance(100);
+    await clock.advance(100);
     await suspend();
     vm.wake();
     sendPong(DISPATCHER);
-    await simulation.advance(100);
+    await clock.advance(100);
     expect(results).to.deep.equal(['0 stopped entry-silent']);
   });
 
@@ -153,12 +153,12 @@
     executor.handleStart(OTHER_DISPATCHER, buildStartOrder(0));
     executor.handleWelcome(OTHER_DISPATCHER, vm.now());
     executor.handleStart(OTHER_DISPATCHER, buildStartOrder(1));
-    await simulation.advance(100);
+    await clock.advance(100);
     await suspend();
     vm.wake();
     sendPong(DISPATCHER);
     executor.handleStart(DISPATCHER, buildStartOrder(2));
-    await simulation.advance(100);
+    await clock.advance(100);
     expect(results.slice(1)).to.deep.equal(['1 stopped entry-silent']);
     expect([...upstream.running.keys()]).to.deep.equal(['job/0/2']);
   });
@@ -168,10 +168,10 @@
     await createExecutor(true);
     executor.handleWelcome(OTHER_DISPATCHER, vm.now());
     executor.handleStart(OTHER_DISPATCHER, buildStartOrder(1));
-    await simulation.advance(ORPHAN_AFTER_MS - 20);
+    await clock.advance(ORPHAN_AFTER_MS - 20);
     sendPong(DISPATCHER);
     upstream.silent = true;
-    await simulation.advance(30);
+    await clock.advance(30);
     executor.handleStart(DISPATCHER, buildStartOrder(2));
     expect(executor.buildHello(OTHER_DISPATCHER).holding).to.have.length(1);
     expect(logged).to.include('entry-silent');
@@ -184,11 +184,11 @@
         await createExecutor(isUpstreamThere);
         results.length = 0;
         executor.handleStart(DISPATCHER, buildStartOrder(0));
-        await simulation.advance(100);
+        await clock.advance(100);
         upstream.silent = true;
-        await simulation.advance(offsetMs);
+        await clock.advance(offsetMs);
         await suspend();
-        while (results.length === 0) await simulation.advance(5);
+        while (results.length === 0) await clock.advance(5);
         upstream.applyTime();
         expect(upstream.running.size, `suspended after ${offsetMs} ms`).to.equal(0);
         executor.close();
@@ -201,7 +201,7 @@
     const tokens = new FencingTokens(1_000_000, vm);
     const before = tokens.take();
     await suspend();
-    await simulation.advance(1);
+    await clock.advance(1);
     expect(tokens.take()).to.be.greaterThan(before);
   });
 
@@ -248,7 +248,7 @@
     );
     dispatcher.place(vm.now());
     await suspend();
-    await simulation.advance(1);
+    await clock.advance(1);
     guard.update(vm.now());
     expect(caller.answers).to.deep.equal([{ kind: 'interrupted', reason: 'paused' }]);
   });
