--- a/src/process/dispatcher/Admission.test.ts
+++ b/src/process/dispatcher/Admission.test.ts
@@ -8,12 +8,18 @@
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import type { CapacityView } from './CapacityForecast.js';
 
-const PATIENCE_MS = 1_000;
+const CALLER_TIMEOUT_MS = 1_000;
 const NOW = 1_000;
 const CAPACITY = { cpuMilli: 2_000, memoryMb: 1_000, gpus: 0 };
 
 function createJob(id: string, count: number, step = STEP): DispatchJob {
-  const submission = { id, route: ROUTE, spec: '', steps: [{ ...step, count }], patienceMs: PATIENCE_MS };
+  const submission = {
+    id,
+    route: ROUTE,
+    spec: '',
+    steps: [{ ...step, count }],
+    patienceMs: CALLER_TIMEOUT_MS,
+  };
   return createDispatchJob(submission, new FakeCaller(), { now: NOW, typicalSpeed: 1, priorityStepMs: 100 });
 }
 
@@ -22,7 +28,7 @@
   let executor: ExecutorView;
   let waiting: DispatchTask[];
 
-  /** Creates an executor of two cores that runs a task in each, and reports the given free CPU. */
+  /** Creates an executor of two cores with two running tasks, which reports the given free CPU. */
   function reportCapacity(free = 0): void {
     const hello = {
       agent: 'a',
@@ -75,7 +81,7 @@
     reportCapacity();
   });
 
-  it('refuses on arrival a job that the work ahead leaves no time for, and keeps the jobs ahead', () => {
+  it('refuses on arrival a job that would wait too long behind others, and keeps those', () => {
     recordEnds();
     const first = queue(createJob('first', 4));
     queue(createJob('middle', 20));
--- a/src/process/dispatcher/Admission.ts
+++ b/src/process/dispatcher/Admission.ts
@@ -19,11 +19,15 @@
 
 /** Forecast that is logged with a refusal. */
 export interface ForecastFigures {
+  /** Time until the waiting work up to the end of the job is done. */
   readonly waitMs: number;
   /** Service rate, in cores of estimated work. */
   readonly drainCores: number;
+  /** Arrival rate of work as a fraction of the service rate. */
   readonly demand: number;
+  /** Free capacity, thousandths of a core. */
   readonly freeCpu: number;
+  /** Time since the arrival of the job. */
   readonly ageMs: number;
 }
 
--- a/src/process/dispatcher/Backlog.ts
+++ b/src/process/dispatcher/Backlog.ts
@@ -10,6 +10,7 @@
 
   constructor(private readonly order: TaskOrder = new DeadlineOrder()) {}
 
+  /** Number of tasks; those that no longer wait are counted until `prune`. */
   get size(): number {
     return this.tasks.length;
   }
--- a/src/process/dispatcher/CapacityForecast.ts
+++ b/src/process/dispatcher/CapacityForecast.ts
@@ -1,6 +1,6 @@
 /**
- * Forecasts how fast a dispatcher's share of the capacity of one service works off its queue. Work is in
- * thousandths of a core times estimated ms; a service rate is work per ms.
+ * Forecasts the service rate of a dispatcher's share of the capacity of one service, and the waiting work.
+ * Work is in thousandths of a core times estimated ms; a service rate is work per ms.
  */
 import type { StepNeed } from '../../request/dispatch/submission.js';
 import type { ExecutorView } from './ExecutorView.js';
@@ -49,7 +49,7 @@
 interface MeasuredState {
   readonly now: number;
   capacity: CapacityState | undefined;
-  /** Whether a waiting job was dropped since. */
+  /** Whether a waiting job was dropped since the last computation. */
   isStale: boolean;
   /** Number of computations for this time. */
   updates: number;
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Finds the capacity as it was first computed for this time.
+   * Finds the capacity as last computed for this time; it may still count jobs that were dropped since.
    *
    * @returns undefined while no executor is usable or too few tasks have completed recently
    */
@@ -109,9 +109,9 @@
   }
 
   /**
-   * Finds the capacity without the jobs that were dropped at this time.
+   * Finds the capacity, computed again if a job was dropped since the last computation for this time.
    *
-   * @returns undefined also after `MAX_UPDATES` computations for this time
+   * @returns undefined also if another computation would exceed `MAX_UPDATES`
    */
   findLatestState(view: CapacityView): CapacityState | undefined {
     const state = this.measureState(view);
--- a/src/process/dispatcher/CrashLedger.ts
+++ b/src/process/dispatcher/CrashLedger.ts
@@ -11,9 +11,12 @@
 /** Identifies a task. */
 export type TaskName = Omit<AttemptName, 'attempt'>;
 
-/** Window within which crashes may have a common cause, ms: the detection time of executors and a second. */
+/** Window within which crashes may have a common cause, ms: detection time of executors plus a second. */
 export const CORRELATION_WINDOW_MS = 1_500;
-/** Crashes within the window, in a failure domain or in total, that are considered correlated. */
+/**
+ * Crashes within the window that count as correlated: this fraction of the upstreams of a failure domain,
+ * or of all upstreams, but at least this number.
+ */
 const DOMAIN_SHARE = 0.5;
 const DOMAIN_MIN_CRASHES = 3;
 const FLEET_SHARE = 0.3;
@@ -23,9 +26,9 @@
 /** A crash is no proof after a run longer than both this multiple of the estimate and this time, ms. */
 const LONG_RUN_FACTOR = 4;
 const LONG_RUN_MS = 3_000;
-/** How long a suspect is kept after its last change, ms; the caller may resubmit the job several times. */
+/** How long an entry is kept after its last change, ms; covers several resubmissions of the job. */
 const RETENTION_MS = 30_000;
-/** Maximum number of suspects; the oldest are removed first. */
+/** Maximum number of entries. */
 const MAX_SUSPECTS = 1_000;
 
 /** A crash of an upstream under a task. */
@@ -33,7 +36,7 @@
   /** Executor beside the upstream. */
   readonly executorId: string;
   readonly failureDomain: string;
-  /** Whether no other suspect ran at the upstream. */
+  /** Whether the task was sent as a suspect, so that no other suspect ran at the upstream. */
   readonly isIsolated: boolean;
   /** Time from sending the task until the crash was reported, ms. */
   readonly ranMs: number;
@@ -50,10 +53,15 @@
   readonly down: number;
 }
 
+/** Entry of a task under which an upstream has crashed. The task is a suspect while it has blames. */
 interface Suspect extends TaskName {
+  /** Rises with each change; of two dispatchers' counts, those of the higher revision are kept. */
   revision: number;
+  /** All crashes under the task. */
   crashes: number;
+  /** Crashes that are not correlated with others. */
   blames: number;
+  /** Blamed crashes while the task was isolated, and not after a long run. */
   proofs: number;
   changedAt: number;
 }
@@ -71,19 +79,19 @@
   blames: Blame[];
 }
 
-/** Suspect tasks of a dispatcher. */
+/** Crash counts of tasks at one dispatcher. */
 export class CrashLedger {
-  /** Suspects by job id. */
+  /** Entries by job id. */
   private readonly suspects = new Map<string, Suspect[]>();
   private count = 0;
   private recent: RecentCrash[] = [];
-  /** Suspects that have changed since they were last sent to other dispatchers. */
+  /** Entries that have changed since they were last sent to other dispatchers. */
   private readonly changed = new Set<Suspect>();
 
-  /** @param limit - crashes under an isolated task after which it is not restarted; 0 disables counting */
+  /** @param limit - crashes that count as proof after which a task is not restarted; 0 disables counting */
   constructor(private readonly limit: number) {}
 
-  /** Number of suspects. */
+  /** Number of tasks with counted crashes, including those that are not blamed. */
   get size(): number {
     return this.count;
   }
@@ -118,7 +126,7 @@
    * @param crash - place and circumstances of the crash
    * @param fleet - number of upstreams
    * @param now - monotonic time, ms
-   * @returns whether the task is blamed; false if the crash is correlated with others
+   * @returns whether the task is blamed; false if the crash is correlated with others or nothing is counted
    */
   recordCrash(name: TaskName, crash: TaskCrash, fleet: Fleet, now: number): boolean {
     if (this.limit === 0) return false;
@@ -137,7 +145,7 @@
     return true;
   }
 
-  /** Clears a task that is done. Returns whether it was a suspect. */
+  /** Removes the entry of a task that is done. Returns whether there was one. */
   release(name: TaskName): boolean {
     if (this.count === 0) return false;
     const suspect = this.find(name);
@@ -146,7 +154,7 @@
     return true;
   }
 
-  /** Merges the counts of another dispatcher. Returns the tasks whose counts were newer. */
+  /** Replaces older counts by those of another dispatcher. Returns the tasks whose counts were newer. */
   adopt(tasks: readonly SuspectTask[], now: number): SuspectTask[] {
     if (this.limit === 0) return [];
     return tasks.filter((report) => {
@@ -158,7 +166,7 @@
     });
   }
 
-  /** Returns and clears the suspects to send to other dispatchers. */
+  /** Returns the entries that have changed since the last call. */
   takeUpdates(): SuspectTask[] {
     if (this.changed.size === 0) return [];
     const tasks = [...this.changed].map(toSuspectTask);
@@ -166,12 +174,12 @@
     return tasks;
   }
 
-  /** Lists all suspects, for a newly linked dispatcher. */
+  /** Lists all entries, for a newly linked dispatcher. */
   list(): SuspectTask[] {
     return [...this.suspects.values()].flat().map(toSuspectTask);
   }
 
-  /** Removes expired suspects. */
+  /** Removes expired entries. */
   tick(now: number): void {
     if (this.count === 0) return;
     for (const suspects of [...this.suspects.values()])
@@ -233,8 +241,8 @@
   }
 
   /**
-   * Removes the oldest suspect: jobs are in the order in which they had their first suspect. Tasks with many
-   * crashes are removed last, since their count would start again at 0.
+   * Removes the oldest entry: jobs are in the order of their first entry. Tasks with as many crashes as the
+   * limit are removed last, since their counts would start again at 0.
    */
   private removeOldest(): void {
     for (const jobSuspects of this.suspects.values()) {
--- a/src/process/dispatcher/Dispatcher.ts
+++ b/src/process/dispatcher/Dispatcher.ts
@@ -1,9 +1,10 @@
 /**
  * Decides which waiting task is sent to which executor and when, and how a job ends.
  *
- * A job is kept while its caller waits. A task has at most one attempt that may run. The next attempt is made
- * only after the executor has reported the end of the previous one, or once that one cannot run any more:
- * `orphanMs` after the latest ping.
+ * A job is kept until it is answered and none of its attempts may run. A task has at most one attempt that
+ * may run. The next attempt is made only after the executor has reported the end of the previous one, or once
+ * that one cannot run any more: the executor has linked again without holding it, a later incarnation of the
+ * executor is ready, or nothing was received from the executor for `orphanMs`.
  */
 import { assertInvariant } from '../../_lib/assertInvariant.js';
 import type {
@@ -43,10 +44,10 @@
 const STALE_PING_INTERVALS = 2;
 /**
  * Validity of a start on the executor's clock, in ping intervals. It is shorter than the age of the last
- * acknowledged ping after which the executor stops the tasks of this dispatcher (3).
+ * acknowledged ping after which the executor stops the tasks of this dispatcher, which is 3 ping intervals.
  */
 const START_EXPIRY_PING_INTERVALS = 2.4;
-/** Pause after an executor rejected a start, ms. */
+/** Pause in sending to an executor after it returned a start as not run, ms. */
 const REJECTION_PAUSE_MS = 4;
 /** Initial estimate of the time from sending a start to its return, ms. */
 const INITIAL_RETURN_MS = 50;
@@ -55,7 +56,7 @@
 /** Rank difference of one priority step, ms. */
 const PRIORITY_STEP_MS = 100;
 
-/** Bytes of a start besides the job's spec, and of each further start of the job in the same message. */
+/** Bytes of a start without the job's spec, and of each further start of the job in the same message. */
 const START_BYTES = 250;
 const BATCHED_START_BYTES = 110;
 
@@ -76,7 +77,7 @@
   readonly admission?: Admission;
   /** Order in which tasks are placed; `DeadlineOrder` by default. */
   readonly order?: TaskOrder;
-  /** Limits on the size of a job and on all open jobs. */
+  /** Limits on the size of each job, and on the number and total size of open jobs. */
   readonly bounds: JobBounds;
   /** Crashes of upstreams under one task after which its job fails; 0 or undefined for no limit. */
   readonly crashLimit?: number;
@@ -93,7 +94,7 @@
   readonly suspects: Suspects;
   /** Moving average of the time from sending a start to its return as not run, ms. */
   private returnMs = INITIAL_RETURN_MS;
-  /** Numbers the attempts of all jobs, so that late results of an earlier submission are ignored. */
+  /** Attempts of all jobs; numbers each attempt, so that late results of earlier submissions are ignored. */
   private attempts = 0;
 
   constructor(
@@ -107,7 +108,7 @@
     this.backlog = new Backlog(options.order);
   }
 
-  /** Typical work per ms of the upstreams, in ms of estimates. */
+  /** Typical speed of the upstreams, ms of estimated work per ms. */
   get typicalSpeed(): number {
     return this.executors.typicalSpeed;
   }
@@ -194,7 +195,8 @@
 
   /**
    * Handles the first message on a link of an executor. Attempts that the executor neither holds nor reports
-   * are lost. The link must be able to send orders.
+   * are lost; so are all of them if it was linked to another incarnation of this dispatcher. The link must be
+   * open, as stop orders may be sent to the executor.
    *
    * @returns the id of this incarnation of the executor
    */
@@ -319,7 +321,7 @@
     for (const { job } of tasks) this.reviewCrashes(job, now);
   }
 
-  /** Merges suspects that another dispatcher reports. Returns those that were new, to be forwarded. */
+  /** Adopts newer crash counts of another dispatcher. Returns the tasks whose counts were newer. */
   adoptSuspects(tasks: readonly SuspectTask[], now: number): SuspectTask[] {
     const updates = this.suspects.adopt(tasks, now);
     for (const { job } of updates) this.reviewCrashes(job, now);
@@ -358,7 +360,7 @@
     return { now, typicalSpeed, staleMs, listExecutors: () => this.executors.list(), listWaiting };
   }
 
-  /** Sends a start and returns its size in bytes. */
+  /** Sends a start, and returns its estimated size in bytes. */
   private send(task: DispatchTask, executor: ExecutorView, now: number): number {
     const { job, need } = task;
     const isBatched = job.lastExecutorId === executor.id && job.lastSentAt === now;
--- a/src/process/dispatcher/DispatcherDaemon.ts
+++ b/src/process/dispatcher/DispatcherDaemon.ts
@@ -47,20 +47,20 @@
 /** Interval between checks of deadlines and unresponsive executors, ms. */
 const TICK_MS = 40;
 /**
- * Interval between pings of another dispatcher, ms. An unresponsive link is detected within two intervals;
- * this is not urgent, since executors also pass on configurations and members.
+ * Interval between pings of another dispatcher, ms. An unresponsive link is usually detected within two
+ * intervals; this is not urgent, since executors also pass on configurations and members.
  */
 const PEER_PING_MS = 1_000;
 /** Interval between member lists to every executor, ms, and the number of other members in each. */
 const MEMBERS_INTERVAL_MS = 4_000;
 const MEMBERS_PER_MESSAGE = 12;
-/** Minimum time that a stopping dispatcher accepts jobs, ms; the load balancer checks once a second. */
+/** Minimum time that a stopping dispatcher stays reachable, ms; the load balancer checks once a second. */
 const BALANCER_NOTICE_MS = 2_500;
 /** Multiple of a job's critical path that must fit before a stopping dispatcher exits. */
 const LEAVING_PATH_FACTOR = 2;
 /** Retry delay that a stopping dispatcher sends, ms; the load balancer has removed it by then. */
 const LEAVING_RETRY_MS = 1_000;
-/** Part of the grace period reserved to answer the remaining jobs and exit, ms. */
+/** Time of the grace period reserved to answer the remaining jobs and exit, ms. */
 const END_MARGIN_MS = 500;
 
 /** Limit on log lines about placements, per second; other decisions are not limited. */
@@ -155,7 +155,7 @@
       this.exchange,
       this.clock,
       {
-        recordMembers: (entries) => this.recordMembers(entries, this.clock.now()),
+        recordMembers: (dispatchers) => this.recordMembers(dispatchers, this.clock.now()),
         recordSuspects: (tasks) => this.adoptSuspects(tasks),
         sendFirstMessages: (channel) => this.sendKnownSuspects(channel),
         log: (event, fields) => this.logger.info(event, fields),
@@ -215,7 +215,7 @@
     if (this.leavingAt !== undefined) return;
     const leavingAt = this.clock.now();
     this.leavingAt = leavingAt;
-    const endAt = this.findEndAt(leavingAt);
+    const endAt = this.computeEndAt(leavingAt);
     this.logger.info('leaving', { openJobs: this.dispatcher.openJobs });
     while (this.clock.now() < endAt) {
       if (this.dispatcher.openJobs === 0 && this.clock.now() > leavingAt + BALANCER_NOTICE_MS) break;
@@ -259,11 +259,11 @@
   private canAccept({ steps }: JobSubmission, now: number): boolean {
     if (this.leavingAt === undefined) return true;
     const criticalPathMs = computeCriticalPathMs(steps) / this.dispatcher.typicalSpeed;
-    return now + criticalPathMs * LEAVING_PATH_FACTOR <= this.findEndAt(this.leavingAt);
+    return now + criticalPathMs * LEAVING_PATH_FACTOR <= this.computeEndAt(this.leavingAt);
   }
 
-  /** Finds when a stopping process answers its open jobs and exits. */
-  private findEndAt(leavingAt: number): number {
+  /** Computes when a stopping process answers its open jobs and exits. */
+  private computeEndAt(leavingAt: number): number {
     return leavingAt + this.settings.graceSeconds * 1_000 - END_MARGIN_MS;
   }
 
@@ -328,7 +328,7 @@
     for (const channel of this.channels.values()) channel.send({ type: 'demand', waitingCpuMilli });
   }
 
-  /** Sends suspects to all dispatchers, since callers may resubmit a job at any of them. */
+  /** Sends crash counts of tasks to all dispatchers, since callers may resubmit a job at any of them. */
   private sendSuspects(tasks: readonly SuspectTask[]): void {
     if (tasks.length === 0) return;
     const notice = { type: 'suspects', tasks } as const;
@@ -445,10 +445,10 @@
 
   private recordMembers(places: readonly DispatcherPlace[], now: number): void {
     const others = places.filter(({ address }) => address !== this.place.address);
-    const fresh = this.members.record(others, now);
-    if (fresh.length === 0) return;
-    this.logger.info('members', { fresh: fresh.map(({ address }) => address) });
-    this.sendMembers(fresh);
+    const newMembers = this.members.record(others, now);
+    if (newMembers.length === 0) return;
+    this.logger.info('members', { fresh: newMembers.map(({ address }) => address) });
+    this.sendMembers(newMembers);
   }
 
   /** Sends some members in rotation, so that the message size does not grow with the fleet. */
@@ -457,8 +457,8 @@
   }
 
   /** Sends members to executors. Executors pass on only the dispatchers that respond to them. */
-  private sendMembers(entries: readonly DispatcherPlace[]): void {
-    for (const channel of this.channels.values()) channel.send({ type: 'members', entries });
+  private sendMembers(dispatchers: readonly DispatcherPlace[]): void {
+    for (const channel of this.channels.values()) channel.send({ type: 'members', entries: dispatchers });
   }
 
   private logDecision(event: string, fields: LogFields): void {
--- a/src/process/dispatcher/DispatcherPeers.test.ts
+++ b/src/process/dispatcher/DispatcherPeers.test.ts
@@ -18,17 +18,17 @@
   let logged: string[];
   /** Whether the other dispatcher replies to pings. */
   let repliesToPings: boolean;
-  let wake: () => void;
+  let resolveWait: () => void;
   /** Offset of the dispatcher's clock from the steady clock, ms. */
   let skippedMs: number;
 
   async function waitFor(type: PeerMessage['type']): Promise<void> {
     while (!received.some((message) => message.type === type)) {
-      await new Promise<void>((resolve) => (wake = resolve));
+      await new Promise<void>((resolve) => (resolveWait = resolve));
     }
   }
 
-  function answer(channel: LineChannel, { at }: Ping): void {
+  function sendPong(channel: LineChannel, { at }: Ping): void {
     channel.send({ type: 'pong', at, version: VERSION, typicalSpeed: 1, isWaiting: false });
   }
 
@@ -37,11 +37,11 @@
     logged = [];
     repliesToPings = true;
     skippedMs = 0;
-    wake = () => undefined;
+    resolveWait = () => undefined;
     const receive = (channel: LineChannel, message: PeerMessage): void => {
       received.push(message);
-      if (message.type === 'ping' && repliesToPings) answer(channel, message);
-      wake();
+      if (message.type === 'ping' && repliesToPings) sendPong(channel, message);
+      resolveWait();
     };
     listener = new PeerListener({ receive, close: () => undefined });
     const linkPort = await listener.start(HOST, 0);
--- a/src/process/dispatcher/DispatcherPeers.ts
+++ b/src/process/dispatcher/DispatcherPeers.ts
@@ -1,6 +1,7 @@
 /**
- * Links that a dispatcher dials to other dispatchers to announce itself and to exchange configurations. Pings
- * check that a link works and compare the configuration versions of both sides.
+ * Links that a dispatcher dials to other dispatchers to announce itself and to exchange members, suspect
+ * tasks and configurations. Pings check that a link works and compare the configuration versions of both
+ * sides.
  */
 import type { Clock } from '../../_lib/Clock.js';
 import type { LineChannel } from '../../connection/peer/LineChannel.js';
@@ -27,9 +28,9 @@
   readonly linkPort: number;
 }
 
-/** Events on the links. */
+/** Handlers of received messages and of events on the links. */
 export interface DispatcherPeersEvents {
-  readonly recordMembers: (entries: readonly DispatcherPlace[]) => void;
+  readonly recordMembers: (dispatchers: readonly DispatcherPlace[]) => void;
   readonly recordSuspects: (tasks: readonly SuspectTask[]) => void;
   /** Sends the first messages on a new link to another dispatcher. */
   readonly sendFirstMessages: (channel: LineChannel) => void;
--- a/src/process/dispatcher/ExecutorTable.ts
+++ b/src/process/dispatcher/ExecutorTable.ts
@@ -4,7 +4,7 @@
 
 /** Lower bound of the typical speed, so that time estimates stay finite. */
 const MIN_TYPICAL_SPEED = 0.2;
-/** Time after which an unlinked executor is removed, ms. */
+/** Age of the last message after which an unlinked executor is removed, ms. */
 const RETENTION_MS = 10_000;
 
 /** Executors of one dispatcher, by process and incarnation. */
@@ -12,14 +12,14 @@
   private readonly executors = new Map<string, ExecutorView>();
   /** Failure domains in which no task is started. */
   private emptied: readonly string[] = [];
-  private median = 1;
+  private medianSpeed = 1;
 
   /** @param staleMs - age of the last message after which an executor is sent no new tasks, ms */
   constructor(readonly staleMs: number) {}
 
-  /** Typical work per ms of the upstreams, in ms of estimates. */
+  /** Typical speed of the upstreams, ms of estimated work per ms. */
   get typicalSpeed(): number {
-    return this.median;
+    return this.medianSpeed;
   }
 
   /** Lists all executors, linked or not. */
@@ -75,15 +75,15 @@
 
   /** Updates the typical speed from the reports of the executors. */
   updateSpeed(): void {
-    this.median = findMedianSpeed(this.executors.values());
+    this.medianSpeed = computeMedianSpeed(this.executors.values());
   }
 
-  /** Removes an incarnation that has ended. */
+  /** Removes an incarnation of an executor. */
   delete(id: string): void {
     this.executors.delete(id);
   }
 
-  /** Removes an executor that has been unlinked for longer than the retention time. */
+  /** Removes an unlinked executor whose last message is older than the retention time. */
   deleteIfGone({ id, linked, lastReceivedAt }: ExecutorView, now: number): void {
     if (!linked && now > lastReceivedAt + RETENTION_MS) this.executors.delete(id);
   }
@@ -102,7 +102,7 @@
   }
 }
 
-function findMedianSpeed(executors: Iterable<ExecutorView>): number {
+function computeMedianSpeed(executors: Iterable<ExecutorView>): number {
   const speeds: number[] = [];
   for (const { linked, report, isEmptied } of executors)
     if (linked && !isEmptied && report && report.state === 'ready') speeds.push(report.speed);
--- a/src/process/dispatcher/ExecutorView.ts
+++ b/src/process/dispatcher/ExecutorView.ts
@@ -23,14 +23,14 @@
   return `${agent}@${life}`;
 }
 
-/** Weight of earlier observations, at each report, in the rate at which other dispatchers take capacity. */
+/** Weight of earlier observations, at each ping or report, in the rate at which others take capacity. */
 const HISTORY_WEIGHT = 0.8;
 /** Time from sending a start until it takes capacity at the executor, ms. */
 const START_TRANSIT_MS = 3;
 
 /**
- * Relative rise of the minimum round-trip time with each pong. The minimum adapts to a longer route within
- * some 20 s, but not to a link that is congested for seconds.
+ * Relative rise of the minimum round-trip time with each value. The minimum adapts to a longer route within
+ * about 20 s, but not to a link that is congested for seconds.
  */
 const MIN_RISE = 0.01;
 
@@ -57,29 +57,31 @@
   isEmptied = false;
   report: ExecutorCapacity | undefined;
   /**
-   * Time of the last ping, capacity report or result. The executor measures its orphan timeout from the last
-   * acknowledged ping, which is not later, so a timeout measured from here never ends before it.
+   * Time of the last hello, ping, capacity report or result. The executor measures its orphan timeout from
+   * the last acknowledged ping, which is not later, so a timeout measured from here never ends before it.
    */
   lastReceivedAt: number;
   /** When its upstream last became unresponsive, ms. */
   downAt = -Infinity;
-  /** Until when no task is sent after the executor rejected a start, ms. */
+  /** Until when no task is sent after the executor returned a start as not run, ms. */
   pausedUntil = 0;
+  /** Last clock reading of the executor, and when it was received, ms. */
   private executorClock = 0;
   private clockAt = 0;
   private startsSent = 0;
   /** Starts that the last report does not include, oldest first. */
   private readonly inFlight: InFlightStart[] = [];
+  /** Resources of these starts, and their bytes. */
   private reserved: Resources = NO_RESOURCES;
   private inFlightBytes = 0;
   /** Recent minimum of the round-trip time, ms. */
   private minRoundTripMs = Infinity;
   /** Resources of attempts that have ended since the last report. */
   private released: Resources = NO_RESOURCES;
-  /** CPU that other dispatchers took between reports, thousandths of a core, and the time observed, ms. */
+  /** Decaying sums of the CPU that other dispatchers took, thousandths of a core, and of the time, ms. */
   private takenByOthers = 0;
   private observedMs = 0;
-  /** Time of the last capacity report; initially the time of the hello. */
+  /** Time of the last ping or capacity report; initially the time of the hello. */
   private reportedAt: number;
 
   constructor(hello: ExecutorHello, now: number) {
@@ -97,7 +99,7 @@
     return subtractResources(reported, this.reserved);
   }
 
-  /** Whether this is the preferred dispatcher of the executor; each executor has one. */
+  /** Whether this is the preferred dispatcher of the executor; each executor has at most one. */
   get isHome(): boolean {
     return this.report?.isHome === true;
   }
@@ -129,7 +131,7 @@
     return roundTripMs - this.minRoundTripMs;
   }
 
-  /** Resets the counts of a link that was reopened. */
+  /** Resets the starts in flight and the released resources for a reopened link. */
   reopen(now: number): void {
     this.linked = true;
     this.lastReceivedAt = Math.max(this.lastReceivedAt, now);
@@ -154,24 +156,24 @@
     this.clockAt = now;
   }
 
-  /** Records a capacity report. */
+  /** Records a capacity report; ignored if no description was received yet. */
   recordCapacity(report: CapacityReport, now: number): void {
     const { description = this.report, ...rest } = report;
     if (!description) return;
     const { upstream, service, labels, capacity } = description;
     const freeBefore = this.free.cpuMilli;
-    const isSame = this.report?.upstream === upstream && equalResources(this.report.capacity, capacity);
+    const isComparable = this.report?.upstream === upstream && equalResources(this.report.capacity, capacity);
     const isDown = report.state === 'silent' || report.state === 'absent';
     if (isDown && this.report?.state === 'ready') this.downAt = now;
     this.report = { upstream, service, labels, capacity, ...rest };
     this.released = NO_RESOURCES;
     while (this.inFlight[0] && this.inFlight[0].number <= report.startsSeen) {
-      const received = this.inFlight.shift();
-      if (!received) continue;
-      this.reserved = subtractResources(this.reserved, received.need);
-      this.inFlightBytes -= received.bytes;
+      const acknowledged = this.inFlight.shift();
+      if (!acknowledged) continue;
+      this.reserved = subtractResources(this.reserved, acknowledged.need);
+      this.inFlightBytes -= acknowledged.bytes;
     }
-    if (isSame) this.recordTakenByOthers(Math.max(0, freeBefore - this.free.cpuMilli), now);
+    if (isComparable) this.recordTakenByOthers(Math.max(0, freeBefore - this.free.cpuMilli), now);
     this.reportedAt = now;
   }
 
--- a/src/process/dispatcher/FairOrder.test.ts
+++ b/src/process/dispatcher/FairOrder.test.ts
@@ -7,7 +7,7 @@
 import type { DispatchJob, DispatchTask } from './dispatchJob.js';
 import { FairOrder } from './FairOrder.js';
 
-const PATIENCE_MS = 1_000_000;
+const CALLER_TIMEOUT_MS = 1_000_000;
 /** Time until the arrival rate is known, ms. */
 const LATER_MS = 1_000;
 /** Objective of a job that arrives at 0: 1.6 times its work and 60 ms. */
@@ -15,7 +15,13 @@
 
 function createJob(name: string, priority: number, count: number, now = 0): DispatchJob {
   const route = { ...ROUTE, name, priority };
-  const submission = { id: name, route, spec: '', steps: [{ ...STEP, count }], patienceMs: PATIENCE_MS };
+  const submission = {
+    id: name,
+    route,
+    spec: '',
+    steps: [{ ...STEP, count }],
+    patienceMs: CALLER_TIMEOUT_MS,
+  };
   const timing = { now, typicalSpeed: 1, priorityStepMs: 100 };
   return createDispatchJob(submission, new FakeCaller(), timing);
 }
@@ -25,7 +31,7 @@
   return order.list(tasks, { now, typicalSpeed: 1 }).map(({ job }) => job.id);
 }
 
-/** Sends the first tasks of an order, and returns the work that each queue got. */
+/** Sends the first task of the order in each round, and returns the sent work of each queue. */
 function sendFirst(order: FairOrder, jobs: readonly DispatchJob[], rounds: number): Map<string, number> {
   const work = new Map<string, number>();
   for (let round = 0; round < rounds; round += 1) {
@@ -65,14 +71,14 @@
 
   it('refunds the work of a task that was not run', () => {
     const order = new FairOrder();
-    const [one, other] = [createJob('one', 1, 3), createJob('other', 1, 3)];
-    for (const job of [one, other]) order.recordArrived(job, 0);
-    const before = listNames(order, [one, other], 0);
-    const [task] = one.tasks as [DispatchTask];
+    const [first, second] = [createJob('one', 1, 3), createJob('other', 1, 3)];
+    for (const job of [first, second]) order.recordArrived(job, 0);
+    const before = listNames(order, [first, second], 0);
+    const [task] = first.tasks as [DispatchTask];
     order.recordSent(task, 0);
-    expect(listNames(order, [one, other], 0)).not.to.deep.equal(before);
+    expect(listNames(order, [first, second], 0)).not.to.deep.equal(before);
     order.recordReturned(task, 0);
-    expect(listNames(order, [one, other], 0)).to.deep.equal(before);
+    expect(listNames(order, [first, second], 0)).to.deep.equal(before);
   });
 
   // Guards against one overloaded queue starving the others.
@@ -93,13 +99,13 @@
         const perWeight = jobs.map((job, at) => {
           const { count, priority } = queues[at] ?? { count: 1, priority: 0 };
           return {
-            turns: (work.get(job.id) ?? 0) / (count * 1.25 ** -priority),
+            service: (work.get(job.id) ?? 0) / (count * 1.25 ** -priority),
             task: 100_000 / (count * 1.25 ** -priority),
           };
         });
-        for (const one of perWeight) {
+        for (const queue of perWeight) {
           for (const other of perWeight) {
-            expect(one.turns - other.turns).to.be.at.most(one.task + other.task + 1e-6);
+            expect(queue.service - other.service).to.be.at.most(queue.task + other.task + 1e-6);
           }
         }
       }),
--- a/src/process/dispatcher/FairOrder.ts
+++ b/src/process/dispatcher/FairOrder.ts
@@ -11,8 +11,9 @@
   readonly weight: number;
   readonly inTime: DispatchTask[];
   readonly late: DispatchTask[];
-  /** Virtual start time of the next task, and work that may be placed ahead of all shares. */
+  /** Virtual start time of the next task. */
   tag: number;
+  /** Work that may be placed ahead of all shares. */
   headroom: number;
 }
 
@@ -65,18 +66,19 @@
       queues.set(name, queue);
       (canFinishInTime(task, context) ? queue.inTime : queue.late).push(task);
     }
-    const found = [...queues.values()];
-    const mostUrgent = Math.min(...found.map(({ share }) => share.priority));
-    for (const queue of found) {
-      if (queue.share.priority === mostUrgent) queue.headroom = queue.share.refillHeadroom(context.now);
+    const groups = [...queues.values()];
+    const mostUrgentPriority = Math.min(...groups.map(({ share }) => share.priority));
+    for (const queue of groups) {
+      if (queue.share.priority === mostUrgentPriority)
+        queue.headroom = queue.share.refillHeadroom(context.now);
     }
-    return found;
+    return groups;
   }
 
   private createQueue(job: DispatchJob, now: number): QueueTasks {
     const share = this.findShare(job);
     const tag = Math.max(this.virtualTime, share.tag);
-    return { share, weight: share.findWeight(now), inTime: [], late: [], tag, headroom: 0 };
+    return { share, weight: share.computeWeight(now), inTime: [], late: [], tag, headroom: 0 };
   }
 
   private findShare({ submission }: DispatchJob): QueueShare {
--- a/src/process/dispatcher/IsolatedPlacement.ts
+++ b/src/process/dispatcher/IsolatedPlacement.ts
@@ -3,7 +3,7 @@
 import { Placement } from './Placement.js';
 import type { PlacementContext } from './Placement.js';
 
-/** How long an executor with a suspect of another dispatcher is skipped, ms; about a short task. */
+/** How long an executor with a suspect of another dispatcher is skipped, ms: the time of a short task. */
 const OCCUPIED_MS = 60;
 /**
  * How long an executor is chosen last after its upstream has crashed, ms. An upstream that keeps crashing is
@@ -92,7 +92,7 @@
   }
 }
 
-/** Computes the used fraction of an executor's CPU, 0 to 1. */
+/** Computes the used fraction of an executor's CPU, or counts its starts in flight if that is unknown. */
 function computeLoad({ report, free, startsInFlight }: ExecutorView): number {
   if (!report || report.capacity.cpuMilli === 0) return startsInFlight;
   return 1 - free.cpuMilli / report.capacity.cpuMilli;
--- a/src/process/dispatcher/Placement.test.ts
+++ b/src/process/dispatcher/Placement.test.ts
@@ -82,9 +82,9 @@
   const nextRandom = createRandom(2);
   const executors = Array.from({ length: 35 }, (_, at) => createExecutor(`a${at}`, 'r1'));
 
-  function createSecondTask(lastAgent: string): DispatchTask {
+  function createSecondTask(lastExecutorId: string): DispatchTask {
     const task = createTask('');
-    task.job.lastExecutorId = lastAgent;
+    task.job.lastExecutorId = lastExecutorId;
     return task;
   }
 
@@ -101,12 +101,12 @@
     const slow = [createExecutor('last', 'r1', { speed: 0.6 }), createExecutor('other', 'r1')];
     const avoided = createSecondTask('last@1');
     avoided.avoid.add('last@1');
-    for (const [task, some] of [
+    for (const [task, candidates] of [
       [createSecondTask('last@1'), full],
       [createSecondTask('last@1'), slow],
       [avoided, [createExecutor('last', 'r1'), createExecutor('other', 'r1')]],
     ] as const) {
-      expect(placement.choose(task, some, { ...CONTEXT, nextRandom })?.processId).to.equal('other');
+      expect(placement.choose(task, candidates, { ...CONTEXT, nextRandom })?.processId).to.equal('other');
     }
   });
 
--- a/src/process/dispatcher/Placement.ts
+++ b/src/process/dispatcher/Placement.ts
@@ -9,7 +9,7 @@
 const LOAD_WEIGHT = 0.25;
 /** Maximum number of random candidates, so that dispatchers do not all choose the same executor. */
 const MAX_COMPARED = 8;
-/** Random part of the cost, so that dispatchers with the same view choose differently. */
+/** Maximum random part of the cost, so that dispatchers with the same view choose differently. */
 const JITTER = 0.1;
 /**
  * Cost bonus of the executor that has just received a task of the same job, as a fraction of the task's time:
@@ -67,10 +67,10 @@
       if (bonus > 0 && isUsable(task, executor, context)) compare(executor, bonus);
     }
     // Few executors are near the data, so all are compared.
-    const mostCompared = task.need.preferredRack === '' ? MAX_COMPARED : executors.length;
+    const maxCompared = task.need.preferredRack === '' ? MAX_COMPARED : executors.length;
     const start = Math.floor(context.nextRandom() * executors.length);
     let compared = 0;
-    for (let step = 0; step < executors.length && compared < mostCompared; step += 1) {
+    for (let step = 0; step < executors.length && compared < maxCompared; step += 1) {
       const executor = executors[(start + step) % executors.length];
       if (!executor || this.computeBonus(task, executor) > 0 || !isUsable(task, executor, context)) continue;
       compared += 1;
--- a/src/process/dispatcher/QueueShare.ts
+++ b/src/process/dispatcher/QueueShare.ts
@@ -1,16 +1,16 @@
-/** Used and available share of one queue. Work is in thousandths of a core times estimated ms. */
+/** Share of one queue in the capacity. Work is in thousandths of a core times estimated ms. */
 import { RateMeter } from './RateMeter.js';
 
 /** Factor by which each priority step reduces the weight of a queue; small enough that no queue starves. */
 const WEIGHT_STEP = 1.25;
 /** Time constant of the arrival rate, ms; long enough that a burst of seconds hardly raises the share. */
 const ARRIVAL_WINDOW_MS = 10_000;
-/** Rate of work ahead of all shares, relative to the arrival rate: an urgent queue may double for seconds. */
+/** Rate of work ahead of all shares, relative to the arrival rate, so that an urgent queue may double. */
 const HEADROOM_FACTOR = 2;
 /** Time for which unused headroom accumulates, ms. */
 const HEADROOM_MS = 1_000;
 
-/** Share of one queue in the capacity. */
+/** Weight, served work and headroom of one queue. */
 export class QueueShare {
   /** Virtual time up to which sent work is accounted for. */
   tag = 0;
@@ -28,12 +28,12 @@
 
   /** Records sent work; negative for work that was returned without having run. */
   recordServed(work: number, virtualTime: number, now: number): void {
-    this.tag = Math.max(this.tag, virtualTime) + work / this.findWeight(now);
+    this.tag = Math.max(this.tag, virtualTime) + work / this.computeWeight(now);
     this.headroom = this.refillHeadroom(now) - work;
   }
 
-  /** Finds the weight of the queue, from its arrival rate and its priority. */
-  findWeight(now: number): number {
+  /** Computes the weight of the queue from its arrival rate and its priority. */
+  computeWeight(now: number): number {
     return Math.max(1, this.arrivals.read(now)) * WEIGHT_STEP ** -this.priority;
   }
 
--- a/src/process/dispatcher/SendWindow.test.ts
+++ b/src/process/dispatcher/SendWindow.test.ts
@@ -8,7 +8,7 @@
 const REVIEW_MS = 100;
 const SETTLE_MS = 250;
 
-/** Reviews a window, which then limits if `isFull` is set. */
+/** Reviews a window, and then requests a start beyond its limit if `isFull` is set. */
 function review(window: SendWindow, now: number, isFull: boolean): void {
   window.canSend(0, now);
   if (isFull) window.canSend(Infinity, now + 1);
--- a/src/process/dispatcher/SendWindow.ts
+++ b/src/process/dispatcher/SendWindow.ts
@@ -2,7 +2,7 @@
  * Limits the bytes of starts in flight from one dispatcher to its executors.
  *
  * This prevents a congestion collapse, a metastable failure: starts that wait for the link until they expire
- * are returned and sent again, so that a full link stays full after the overload. Tasks beyond the window
+ * are returned and sent again, so that the link stays full after the overload. Tasks beyond the window
  * stay in the backlog, where they can still be reordered, refused or sent elsewhere, and pongs, stops and
  * configurations do not wait behind starts.
  */
@@ -13,14 +13,14 @@
 const MIN_BYTES = 6_144;
 /** Maximum window, bytes: 0.2 s on a link of 200 Mbit/s. */
 const MAX_BYTES = 5_000_000;
-/** Minimum interval between reviews of the pong delays, ms. */
+/** Minimum interval between reviews of the window, ms. */
 const REVIEW_MS = 100;
 /**
  * Maximum number of delays kept until the next review. Reviews happen only when there is something to send,
  * so an idle dispatcher would otherwise accumulate delays and use old ones.
  */
 const MAX_DELAYS = 256;
-/** Time after a reduction before the next change, ms: a ping interval, until pongs show the effect. */
+/** Time after a reduction before the next change, ms: about a ping interval, until pongs show the effect. */
 const SETTLE_MS = 200;
 /** Growth factor, per review, of a window that limits while the link is not congested. */
 const GROWTH = 1.2;
@@ -83,7 +83,7 @@
     return isBelowLimit;
   }
 
-  /** Adjusts the window. */
+  /** Adjusts the window, once per review interval. */
   protected review(now: number): void {
     if (this.wasLimiting && now - this.shrunkAt >= SETTLE_MS)
       this.size = Math.min(MAX_BYTES, this.size * GROWTH);
--- a/src/process/dispatcher/Suspects.ts
+++ b/src/process/dispatcher/Suspects.ts
@@ -32,7 +32,7 @@
     this.placement = new IsolatedPlacement(placement);
   }
 
-  /** Number of suspects. */
+  /** Number of tasks with counted crashes. */
   get size(): number {
     return this.ledger.size;
   }
@@ -53,7 +53,7 @@
     if (task.isIsolated) this.placement.recordSent(task);
   }
 
-  /** Records the end of an attempt: counts a crash under its task, or clears a suspect that is done. */
+  /** Records the end of an attempt: counts a crash, or clears the counts of a task that is done. */
   recordEnd(task: DispatchTask, end: AttemptResult['end'], reason: string, now: number): void {
     const { isIsolated, need, step, index } = task;
     const job = task.job.id;
@@ -97,17 +97,17 @@
     this.log('job-crashes', { job, task: `${step}/${index}`, crashes });
   }
 
-  /** Merges suspects that another dispatcher reports. Returns those that were new, to be forwarded. */
+  /** Adopts newer counts of another dispatcher. Returns the tasks whose counts were newer. */
   adopt(tasks: readonly SuspectTask[], now: number): SuspectTask[] {
     return this.ledger.adopt(tasks, now);
   }
 
-  /** Returns and clears the suspects to send to other dispatchers. */
+  /** Returns the tasks whose counts have changed since the last call, to be sent to other dispatchers. */
   takeUpdates(): SuspectTask[] {
     return this.ledger.takeUpdates();
   }
 
-  /** Lists all suspects, for a newly linked dispatcher. */
+  /** Lists all tasks with counted crashes, for a newly linked dispatcher. */
   list(): SuspectTask[] {
     return this.ledger.list();
   }
--- a/src/process/dispatcher/TaskOrder.ts
+++ b/src/process/dispatcher/TaskOrder.ts
@@ -5,11 +5,11 @@
 /** State of the dispatcher that an order reads. */
 export interface OrderContext {
   readonly now: number;
-  /** Typical work per ms of the upstreams, in ms of estimates. */
+  /** Typical speed of the upstreams, ms of estimated work per ms. */
   readonly typicalSpeed: number;
 }
 
-/** A strategy to order tasks. It may keep shares from arrivals, sent tasks and returned tasks. */
+/** A strategy to order tasks. It may depend on recorded arrivals, sent tasks and returned tasks. */
 export abstract class TaskOrder {
   /**
    * Orders the waiting tasks.
@@ -50,7 +50,7 @@
   return now + need.estimateMs / typicalSpeed <= job.objectiveAt;
 }
 
-/** Estimates the remaining work of a task's job, thousandths of a core times ms, for tasks of equal size. */
+/** Estimates a job's remaining work from one of its tasks, thousandths of a core times ms. */
 function computeRemainingWork(task: DispatchTask): number {
   return task.job.remaining * computeTaskWork(task);
 }
--- a/src/process/dispatcher/dispatchJob.ts
+++ b/src/process/dispatcher/dispatchJob.ts
@@ -1,4 +1,4 @@
-/** A job at the dispatcher that its caller is connected to, and its tasks. */
+/** Jobs and tasks at a dispatcher. */
 import { createMachine } from 'xstate';
 
 import { compileMachine, stepMachine } from '../../_lib/compileMachine.js';
@@ -45,6 +45,7 @@
   failures: number;
   /** Id of the executor incarnation with the latest attempt. */
   executorId: string;
+  /** When the latest attempt was sent, ms. */
   sentAt: number;
   /** Whether the latest attempt was sent as a suspect, so that no other suspect runs at its upstream. */
   isIsolated: boolean;
@@ -52,7 +53,7 @@
   readonly avoid: Set<string>;
 }
 
-/** A job, kept while its caller waits. */
+/** A job, kept until it is answered and none of its tasks may run. */
 export interface DispatchJob {
   readonly id: string;
   readonly submission: JobSubmission;
@@ -62,7 +63,7 @@
   readonly deadlineAt: number;
   /** Time after which the answer counts as late, ms. */
   readonly objectiveAt: number;
-  /** Latest start in time, shifted by the priority; the lowest rank is first. */
+  /** Latest start that meets the objective, plus a delay per priority step, ms; the lowest is first. */
   readonly rank: number;
   readonly tasks: DispatchTask[];
   /** Position in `tasks` of the first task of each step. */
@@ -71,7 +72,7 @@
   remaining: number;
   /** Number of tasks that may run: `sent` or `withdrawn`. */
   outstanding: number;
-  /** Whether an attempt may have run, so that the job cannot be reported as not run. */
+  /** Whether an ended attempt may have run, so that the job cannot be reported as not run. */
   begun: boolean;
   /** Whether an attempt was ever sent. */
   offered: boolean;
@@ -98,7 +99,7 @@
  * @param steps - steps in order; `after` refers to earlier ones
  * @returns the duration of the path by the caller's estimates, ms
  * @example
- * findChainMs([{ ...step, estimateMs: 80, after: [] }]); // 80
+ * computeCriticalPathMs([{ ...step, estimateMs: 80, after: [] }]); // 80
  */
 export function computeCriticalPathMs(steps: readonly StepNeed[]): number {
   const ends: number[] = [];
@@ -112,7 +113,7 @@
 /** State of the dispatcher that the times of a job depend on. */
 export interface JobTiming {
   readonly now: number;
-  /** Typical work per ms of the upstreams, in ms of estimates. */
+  /** Typical speed of the upstreams, ms of estimated work per ms. */
   readonly typicalSpeed: number;
   /** Rank difference of one priority step, ms. */
   readonly priorityStepMs: number;
--- a/src/process/dispatcher/findGiveUpReason.ts
+++ b/src/process/dispatcher/findGiveUpReason.ts
@@ -21,7 +21,7 @@
  * @param job - the job
  * @param until - monotonic time, ms
  * @param now - monotonic time, ms
- * @param typicalSpeed - work per ms of the upstreams, in ms of estimates
+ * @param typicalSpeed - typical speed of the upstreams, ms of estimated work per ms
  * @returns false if the job cannot be completed in time
  */
 function canFinishBefore(job: DispatchJob, until: number, now: number, typicalSpeed: number): boolean {
@@ -33,11 +33,11 @@
 
 /**
  * Finds the reason to give up a job: its caller timeout expires before it can end, or it has not started and
- * its answer would come too late to be useful.
+ * its answer would be too late to be useful or it has waited for too long.
  *
  * @param job - an open job
  * @param now - monotonic time, ms
- * @param typicalSpeed - work per ms of the upstreams, in ms of estimates
+ * @param typicalSpeed - typical speed of the upstreams, ms of estimated work per ms
  * @returns the reason, or undefined if the job is kept
  */
 export function findGiveUpReason(
--- a/src/process/dispatcher/needsMove.ts
+++ b/src/process/dispatcher/needsMove.ts
@@ -12,7 +12,7 @@
 
 /**
  * Checks whether a running task should be restarted elsewhere: it is stalled, or it is slow and would be
- * late.
+ * late, and a new attempt can end before the caller timeout.
  *
  * @param task - the task
  * @param progress - progress reported by its executor
@@ -32,7 +32,7 @@
   if (now + estimateMs > task.job.deadlineAt) return false;
   if (stalledMs > Math.max(STALL_MIN_MS, estimateMs * STALL_FRACTION)) return true;
   const effectiveSpeed = Math.max(speed, typicalSpeed * MIN_SPEED_SHARE);
-  const leftMs = (task.need.estimateMs * (1 - percent / 100)) / effectiveSpeed;
-  if (now + leftMs <= task.job.objectiveAt) return false;
-  return effectiveSpeed < typicalSpeed * SLOW_SHARE && leftMs > estimateMs + MOVE_GAIN_MS;
+  const remainingMs = (task.need.estimateMs * (1 - percent / 100)) / effectiveSpeed;
+  if (now + remainingMs <= task.job.objectiveAt) return false;
+  return effectiveSpeed < typicalSpeed * SLOW_SHARE && remainingMs > estimateMs + MOVE_GAIN_MS;
 }
