--- a/src/process/dispatcher/CrashLedger.test.ts
+++ b/src/process/dispatcher/CrashLedger.test.ts
@@ -135,7 +135,7 @@
     expect(other.isOverLimit(TASK)).to.equal(true);
   });
 
-  it('limits the number of suspects, and removes them after the retention time', () => {
+  it('limits the number of counted tasks, and removes them after the retention time', () => {
     for (let index = 0; index < 1_200; index += 1) {
       const name = { job: `job${index}`, step: 0, index: 0 };
       ledger.recordCrash(name, buildCrash(), FLEET, index);
--- a/src/process/dispatcher/CrashLedger.ts
+++ b/src/process/dispatcher/CrashLedger.ts
@@ -26,10 +26,10 @@
 /** A crash is no proof after a run longer than both this multiple of the estimate and this time, ms. */
 const LONG_RUN_FACTOR = 4;
 const LONG_RUN_MS = 3_000;
-/** How long an entry is kept after its last change, ms; covers several resubmissions of the job. */
+/** How long a record is kept after its last change, ms; covers several resubmissions of the job. */
 const RETENTION_MS = 30_000;
-/** Maximum number of entries. */
-const MAX_SUSPECTS = 1_000;
+/** Maximum number of records. */
+const MAX_RECORDS = 1_000;
 
 /** A crash of an upstream under a task. */
 export interface TaskCrash {
@@ -53,9 +53,9 @@
   readonly down: number;
 }
 
-/** Entry of a task under which an upstream has crashed. The task is a suspect while it has blames. */
-interface Suspect extends TaskName {
-  /** Rises with each change; of two dispatchers' counts, those of the higher revision are kept. */
+/** Counts of a task under which an upstream has crashed. It is a suspect while it has blames. */
+interface CrashRecord extends TaskName {
+  /** Rises with each change; the counts with the higher revision are kept when dispatchers exchange them. */
   revision: number;
   /** All crashes under the task. */
   crashes: number;
@@ -67,7 +67,7 @@
 }
 
 interface Blame {
-  readonly suspect: Suspect;
+  readonly record: CrashRecord;
   readonly isProof: boolean;
 }
 
@@ -81,12 +81,12 @@
 
 /** Crash counts of tasks at one dispatcher. */
 export class CrashLedger {
-  /** Entries by job id. */
-  private readonly suspects = new Map<string, Suspect[]>();
+  /** Records by job id. */
+  private readonly records = new Map<string, CrashRecord[]>();
   private count = 0;
   private recent: RecentCrash[] = [];
-  /** Entries that have changed since they were last sent to other dispatchers. */
-  private readonly changed = new Set<Suspect>();
+  /** Records that have changed since they were last sent to other dispatchers. */
+  private readonly changed = new Set<CrashRecord>();
 
   /** @param limit - crashes that count as proof after which a task is not restarted; 0 disables counting */
   constructor(private readonly limit: number) {}
@@ -104,14 +104,14 @@
   /** Whether a task has reached the crash limit and must not be started again. */
   isOverLimit(name: TaskName): boolean {
     if (this.count === 0) return false;
-    const suspect = this.find(name);
-    return suspect !== undefined && this.hasReachedLimit(suspect);
+    const record = this.find(name);
+    return record !== undefined && this.hasReachedLimit(record);
   }
 
   /** Lists the tasks of a job that have reached the crash limit. */
   listOverLimit(job: string): TaskName[] {
     if (this.count === 0) return [];
-    return (this.suspects.get(job) ?? []).filter((suspect) => this.hasReachedLimit(suspect));
+    return (this.records.get(job) ?? []).filter((record) => this.hasReachedLimit(record));
   }
 
   /** Counts the crashes of upstreams under a task. */
@@ -130,27 +130,27 @@
    */
   recordCrash(name: TaskName, crash: TaskCrash, fleet: Fleet, now: number): boolean {
     if (this.limit === 0) return false;
-    const suspect = this.find(name) ?? this.add(name, now);
-    suspect.crashes += 1;
-    this.markChanged(suspect, now);
+    const record = this.find(name) ?? this.add(name, now);
+    record.crashes += 1;
+    this.markChanged(record, now);
     const recentCrash = this.recordRecent(crash, now);
     if (this.isCorrelated(crash.failureDomain, fleet)) {
       this.revokeBlames(now);
       return false;
     }
     const isProof = crash.isIsolated && !isLongRun(crash);
-    suspect.blames += 1;
-    suspect.proofs += Number(isProof);
-    recentCrash.blames.push({ suspect, isProof });
+    record.blames += 1;
+    record.proofs += Number(isProof);
+    recentCrash.blames.push({ record, isProof });
     return true;
   }
 
-  /** Removes the entry of a task that is done. Returns whether there was one. */
+  /** Removes the record of a task that is done. Returns whether there was one. */
   release(name: TaskName): boolean {
     if (this.count === 0) return false;
-    const suspect = this.find(name);
-    if (!suspect) return false;
-    this.remove(suspect);
+    const record = this.find(name);
+    if (!record) return false;
+    this.remove(record);
     return true;
   }
 
@@ -166,7 +166,7 @@
     });
   }
 
-  /** Returns the entries that have changed since the last call. */
+  /** Returns the records that have changed since the last call. */
   takeUpdates(): SuspectTask[] {
     if (this.changed.size === 0) return [];
     const tasks = [...this.changed].map(toSuspectTask);
@@ -174,19 +174,19 @@
     return tasks;
   }
 
-  /** Lists all entries, for a newly linked dispatcher. */
+  /** Lists all records, for a newly linked dispatcher. */
   list(): SuspectTask[] {
-    return [...this.suspects.values()].flat().map(toSuspectTask);
+    return [...this.records.values()].flat().map(toSuspectTask);
   }
 
-  /** Removes expired entries. */
+  /** Removes expired records. */
   tick(now: number): void {
     if (this.count === 0) return;
-    for (const suspects of [...this.suspects.values()])
-      for (const suspect of [...suspects]) if (now - suspect.changedAt > RETENTION_MS) this.remove(suspect);
+    for (const records of [...this.records.values()])
+      for (const record of [...records]) if (now - record.changedAt > RETENTION_MS) this.remove(record);
   }
 
-  private hasReachedLimit({ proofs, crashes }: Suspect): boolean {
+  private hasReachedLimit({ proofs, crashes }: CrashRecord): boolean {
     return proofs >= this.limit || crashes >= this.limit + EXTRA_CRASHES;
   }
 
@@ -210,55 +210,55 @@
   /** Revokes the blame for recent crashes, which are correlated. The crashes themselves still count. */
   private revokeBlames(now: number): void {
     for (const crash of this.recent) {
-      for (const { suspect, isProof } of crash.blames) {
+      for (const { record, isProof } of crash.blames) {
         // A report of another dispatcher may already have revoked this crash.
-        suspect.blames = Math.max(0, suspect.blames - 1);
-        suspect.proofs = Math.max(0, suspect.proofs - Number(isProof));
-        if (this.find(suspect) === suspect) this.markChanged(suspect, now);
+        record.blames = Math.max(0, record.blames - 1);
+        record.proofs = Math.max(0, record.proofs - Number(isProof));
+        if (this.find(record) === record) this.markChanged(record, now);
       }
       crash.blames = [];
     }
   }
 
-  private markChanged(suspect: Suspect, now: number): void {
-    suspect.revision += 1;
-    suspect.changedAt = now;
-    this.changed.add(suspect);
+  private markChanged(record: CrashRecord, now: number): void {
+    record.revision += 1;
+    record.changedAt = now;
+    this.changed.add(record);
   }
 
-  private find({ job, step, index }: TaskName): Suspect | undefined {
-    return this.suspects.get(job)?.find((other) => other.step === step && other.index === index);
+  private find({ job, step, index }: TaskName): CrashRecord | undefined {
+    return this.records.get(job)?.find((other) => other.step === step && other.index === index);
   }
 
-  private add({ job, step, index }: TaskName, now: number): Suspect {
-    if (this.count >= MAX_SUSPECTS) this.removeOldest();
-    const suspect = { job, step, index, revision: 0, crashes: 0, blames: 0, proofs: 0, changedAt: now };
-    const jobSuspects = this.suspects.get(job);
-    if (jobSuspects) jobSuspects.push(suspect);
-    else this.suspects.set(job, [suspect]);
+  private add({ job, step, index }: TaskName, now: number): CrashRecord {
+    if (this.count >= MAX_RECORDS) this.removeOldest();
+    const record = { job, step, index, revision: 0, crashes: 0, blames: 0, proofs: 0, changedAt: now };
+    const jobRecords = this.records.get(job);
+    if (jobRecords) jobRecords.push(record);
+    else this.records.set(job, [record]);
     this.count += 1;
-    return suspect;
+    return record;
   }
 
   /**
-   * Removes the oldest entry: jobs are in the order of their first entry. Tasks with as many crashes as the
+   * Removes the oldest record: jobs are in the order of their first record. Tasks with as many crashes as the
    * limit are removed last, since their counts would start again at 0.
    */
   private removeOldest(): void {
-    for (const jobSuspects of this.suspects.values()) {
-      const removable = jobSuspects.find(({ crashes }) => crashes < this.limit);
+    for (const jobRecords of this.records.values()) {
+      const removable = jobRecords.find(({ crashes }) => crashes < this.limit);
       if (removable) return this.remove(removable);
     }
-    const [oldest] = this.suspects.values();
+    const [oldest] = this.records.values();
     if (oldest?.[0]) this.remove(oldest[0]);
   }
 
-  private remove(suspect: Suspect): void {
-    const jobSuspects = this.suspects.get(suspect.job) ?? [];
-    const kept = jobSuspects.filter((other) => other !== suspect);
-    if (kept.length > 0) this.suspects.set(suspect.job, kept);
-    else this.suspects.delete(suspect.job);
-    this.changed.delete(suspect);
+  private remove(record: CrashRecord): void {
+    const jobRecords = this.records.get(record.job) ?? [];
+    const kept = jobRecords.filter((other) => other !== record);
+    if (kept.length > 0) this.records.set(record.job, kept);
+    else this.records.delete(record.job);
+    this.changed.delete(record);
     this.count -= 1;
   }
 }
@@ -267,6 +267,6 @@
   return ranMs > LONG_RUN_MS && ranMs > estimateMs * LONG_RUN_FACTOR;
 }
 
-function toSuspectTask({ job, step, index, revision, crashes, blames, proofs }: Suspect): SuspectTask {
+function toSuspectTask({ job, step, index, revision, crashes, blames, proofs }: CrashRecord): SuspectTask {
   return { job, step, index, revision, crashes, blames, proofs };
 }
--- a/src/process/dispatcher/Suspects.ts
+++ b/src/process/dispatcher/Suspects.ts
@@ -112,7 +112,7 @@
     return this.ledger.list();
   }
 
-  /** Removes expired entries. */
+  /** Removes expired counts and crashes. */
   tick(now: number): void {
     this.ledger.tick(now);
     this.placement.tick(now);
