--- a/bench/measureRun.ts
+++ b/bench/measureRun.ts
@@ -4,7 +4,7 @@
 import { createPlan } from '../src/load/createPlan.js';
 import type { PlanOptions } from '../src/load/createPlan.js';
 import { POLICIES } from '../src/load/policies.js';
-import { buildDeclaration } from '../src/load/profile.js';
+import { buildDeclareCommand } from '../src/load/profile.js';
 import { runPlan } from '../src/load/runPlan.js';
 import { rankByWork, scheduleIdeal } from '../src/load/scheduleIdeal.js';
 import { ProcessCluster } from './ProcessCluster.js';
@@ -57,7 +57,7 @@
   const jobs = createPlan({ ...sizes, slots });
   const startAt = Date.now() + LEAD_MS;
   const times = deadlineMs === undefined ? { startAt } : { startAt, deadlineMs };
-  const declared = await cluster.runCommand(buildDeclaration(profile, runId, times));
+  const declared = await cluster.runCommand(buildDeclareCommand(profile, runId, times));
   if (declared.status !== 200) throw new Error(JSON.stringify(declared));
   const before = await readCounts(cluster);
   const outcomes = await runPlan(jobs, { entries: cluster.entryUrls, event: runId, startAt, runId });
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -2,7 +2,7 @@
 import { cac } from 'cac';
 import * as fc from 'fast-check';
 
-import { FakeWorld } from '../test/fakes/FakeWorld.js';
+import { ClusterSimulation } from '../test/fakes/ClusterSimulation.js';
 import {
   dispatchCommands,
   domainCommands,
@@ -13,7 +13,7 @@
 } from '../test/fakes/dispatchCommands.js';
 import { runDispatchSimulation } from '../test/fakes/runDispatchSimulation.js';
 import { runProcessSoak } from './runProcessSoak.js';
-import { RUN_AGENTS, RUN_ENTRIES, worldCommands } from '../test/fakes/worldCommands.js';
+import { RUN_AGENTS, RUN_ENTRIES, clusterCommands } from '../test/fakes/clusterCommands.js';
 
 /** Runs between two lines of progress. */
 const BATCH = 200;
@@ -35,8 +35,13 @@
 
 function runBatch(seed: number): void {
   const faults = FAULTS[seed % FAULTS.length] as (typeof FAULTS)[number];
-  const property = fc.property(worldCommands, fc.integer(), (commands, worldSeed) => {
-    const world = new FakeWorld({ seed: worldSeed, entries: RUN_ENTRIES, agents: RUN_AGENTS, faults });
+  const property = fc.property(clusterCommands, fc.integer(), (commands, worldSeed) => {
+    const world = new ClusterSimulation({
+      seed: worldSeed,
+      entries: RUN_ENTRIES,
+      agents: RUN_AGENTS,
+      faults,
+    });
     const model = { commands: 0 };
     fc.modelRun(() => ({ model, real: world }), commands);
     world.settle();
@@ -45,7 +50,7 @@
   fc.assert(property, { numRuns: BATCH, seed, interruptAfterTimeLimit: BATCH_MS });
 }
 
-function countRun(world: FakeWorld, commands: number): void {
+function countRun(world: ClusterSimulation, commands: number): void {
   totals.runs += 1;
   totals.commands += commands;
   totals.tasks += world.starts.size;
--- a/src/_lib/readClock.ts
+++ b/src/_lib/readClock.ts
@@ -35,7 +35,7 @@
  *
  * @param ms - duration of the suspension
  * @example
- * noteSuspension(3_000);
+ * recordSuspension(3_000);
  */
 export function recordSuspension(ms: number): void {
   anchorMs += ms;
--- a/src/bin/commands/local.ts
+++ b/src/bin/commands/local.ts
@@ -28,7 +28,7 @@
       const { LocalCluster } = await import('../../process/LocalCluster.js');
       const cluster = new LocalCluster({ ...DEFAULT_LOCAL, port, entries, agents, logLevel });
       await cluster.start();
-      printHelp(cluster.entryUrl());
+      printHelp(cluster.buildEntryUrl());
       await runUntilSignal([cluster]);
     });
 }
--- a/src/connection/peer/packedConfiguration.test.ts
+++ b/src/connection/peer/encodedConfiguration.test.ts
@@ -3,7 +3,11 @@
 import { expect } from 'chai';
 
 import { buildRoutes } from '../../../test/fakes/buildRoutes.js';
-import { checkPacked, decodeConfiguration, encodeConfiguration } from './packedConfiguration.js';
+import {
+  checkEncodedConfiguration,
+  decodeConfiguration,
+  encodeConfiguration,
+} from './encodedConfiguration.js';
 
 const LIMITS = { maxBodyBytes: 1_000, headerTimeoutMs: 1_000, idleTimeoutMs: 1_000 };
 const CONFIGURATION = { version: 7, routes: buildRoutes(200, 7), limits: LIMITS };
@@ -12,10 +16,10 @@
   return deflateSync(text).toString('base64');
 }
 
-describe('packedConfiguration', () => {
+describe('encodedConfiguration', () => {
   it('decodes an encoded configuration', () => {
     const text = encodeConfiguration(CONFIGURATION);
-    expect(checkPacked(text)).to.equal('');
+    expect(checkEncodedConfiguration(text)).to.equal('');
     expect(decodeConfiguration(text)).to.deep.equal({ ok: true, configuration: CONFIGURATION });
   });
 
@@ -28,7 +32,7 @@
       text.slice(0, -8),
       `${text.slice(0, middle)}${'A'.repeat(middle)}`,
     ]) {
-      expect(checkPacked(wrong)).to.not.equal('');
+      expect(checkEncodedConfiguration(wrong)).to.not.equal('');
       expect(decodeConfiguration(wrong).ok).to.equal(false);
     }
   });
@@ -41,7 +45,7 @@
   it('rejects a text that decompresses beyond the limit', () => {
     const text = pack(' '.repeat(64 * 1024 * 1024));
     expect(text.length).to.be.lessThan(100_000);
-    expect(checkPacked(text)).to.not.equal('');
+    expect(checkEncodedConfiguration(text)).to.not.equal('');
     expect(decodeConfiguration(text).ok).to.equal(false);
   });
 });
--- a/src/connection/peer/packedConfiguration.ts
+++ b/src/connection/peer/encodedConfiguration.ts
@@ -1,6 +1,6 @@
 /**
- * Encoding of configurations between processes: JSON text, deflated, in base64. Processes that use no routes
- * store and forward the encoded text.
+ * Encoding of configurations between processes: JSON, compressed with deflate and encoded as base64.
+ * Processes that use no routes store and forward the encoded text.
  */
 import { deflateSync, inflateSync } from 'node:zlib';
 
@@ -11,11 +11,11 @@
 
 /** Longest JSON text, bytes; guards against decompression bombs. */
 const MAX_DECOMPRESSED_BYTES = 16 * 1024 * 1024;
-/** Deflate level; compression blocks the event loop, and higher levels save few bytes. */
+/** Deflate level; low, as compression blocks the event loop. */
 const COMPRESSION_LEVEL = 3;
 
 /** The decoded configuration, or why the text is invalid. */
-export type ConfigurationDecode =
+export type ConfigurationDecodeResult =
   | { readonly ok: true; readonly configuration: Configuration }
   | { readonly ok: false; readonly problem: string };
 
@@ -37,7 +37,7 @@
  * @example
  * decodeConfiguration(encodeConfiguration(configuration)); // { ok: true, configuration }
  */
-export function decodeConfiguration(text: string): ConfigurationDecode {
+export function decodeConfiguration(text: string): ConfigurationDecodeResult {
   let configuration: unknown;
   try {
     configuration = JSON.parse(decodeBytes(text).toString('utf8'));
@@ -54,9 +54,9 @@
  * Checks that an encoded text is complete, by its checksum, without parsing the configuration.
  *
  * @param text - base64 text
- * @returns the error, or an empty text when the text is complete
+ * @returns the error, or an empty string if the text is complete
  */
-export function checkPacked(text: string): string {
+export function checkEncodedConfiguration(text: string): string {
   try {
     decodeBytes(text);
     return '';
--- a/src/load/buildReport.ts
+++ b/src/load/buildReport.ts
@@ -199,7 +199,7 @@
  * @param values - non-negative numbers
  * @returns count, mean, quantiles and maximum
  * @example
- * describe([1, 2, 3]).count; // 3
+ * buildDistribution([1, 2, 3]).count; // 3
  */
 export function buildDistribution(values: readonly number[]): Distribution {
   const histogram = build({ numberOfSignificantValueDigits: 3 });
--- a/src/load/createPlan.ts
+++ b/src/load/createPlan.ts
@@ -4,8 +4,9 @@
 
 /** One job of a plan. */
 export interface PlannedJob {
+  /** Number of the job in order of creation. */
   readonly number: number;
-  /** Time of sending, ms after the event's start; negative before it. */
+  /** Send time, ms after the start of the event. */
   readonly atMs: number;
   readonly kind: string;
   readonly priority: number;
@@ -19,11 +20,11 @@
   readonly profile: Profile;
   readonly shape: ArrivalShape;
   readonly seed: number;
-  /** Number of slots of all upstreams. */
+  /** Total number of slots. */
   readonly slots: number;
-  /** Amount of work, in seconds of all slots. */
+  /** Amount of work, as the time that all slots need for it, s. */
   readonly workSeconds: number;
-  /** Steady arrivals: arriving work relative to the capacity of the slots. */
+  /** Steady arrivals: offered load as a fraction of the capacity. */
   readonly utilization: number;
   /** Overrides the deadline of every kind, ms. */
   readonly deadlineMs?: number;
@@ -33,6 +34,8 @@
 const BURST_SPREAD_MS = 100;
 /** Interval between jobs under low load, ms. */
 const LOW_INTERVAL_MS = 25;
+/** Maximum delay of a steady arrival, ms. */
+const STEADY_JITTER_MS = 50;
 
 /**
  * Creates the jobs of a run. The result is deterministic for the same options.
@@ -60,7 +63,7 @@
 function drawArrivalMs(options: PlanOptions, plannedMs: number, index: number, random: () => number): number {
   if (options.shape === 'burst') return random() * BURST_SPREAD_MS;
   if (options.shape === 'low') return index * LOW_INTERVAL_MS;
-  const jitter = random() * 50;
+  const jitter = random() * STEADY_JITTER_MS;
   return plannedMs / (options.slots * options.utilization) + jitter;
 }
 
--- a/src/load/profile.ts
+++ b/src/load/profile.ts
@@ -1,17 +1,18 @@
 /** Workload profiles and arrival shapes of load runs. */
 
-/** One kind of request of a profile. */
+/** A kind of job in a profile. */
 export interface ProfileKind {
   readonly name: string;
   /** Share of the jobs, from 0 to 1. */
   readonly share: number;
+  /** Priority; 0 is the highest. */
   readonly priority: number;
   readonly deadlineMs: number;
-  /** Minimum and maximum duration of a regular task, ms; log-uniform. */
+  /** Minimum and maximum duration of a regular task, ms; drawn from a log-uniform distribution. */
   readonly workMs: readonly [number, number];
   /** Share of the tasks that are long, from 0 to 1. */
   readonly longShare: number;
-  /** Minimum and maximum number of tasks of a job; log-uniform. */
+  /** Minimum and maximum number of tasks of a job; drawn from a log-uniform distribution. */
   readonly tasks: readonly [number, number];
 }
 
@@ -25,7 +26,10 @@
 /** Names of the profiles. */
 export type ProfileName = 'timber-exchange' | 'tender-desk';
 
-/** How jobs arrive: all at the start; evenly at a share of the capacity; single tasks at low load. */
+/**
+ * How jobs arrive. `burst`: shortly after the start; `steady`: evenly, at a share of the capacity; `low`:
+ * jobs of one task at a fixed interval.
+ */
 export type ArrivalShape = 'burst' | 'steady' | 'low';
 
 /** Minimum and maximum duration of a long task, ms. */
@@ -66,7 +70,7 @@
   ],
 };
 
-/** Seals of the highest priority; many short status pings. */
+/** Few urgent seals; many short status requests of low priority. */
 const TENDER_DESK: Profile = {
   name: 'tender-desk',
   service: 'portal',
@@ -108,18 +112,18 @@
 };
 
 /**
- * Computes the mean duration of a kind's tasks.
+ * Estimates the mean duration of a kind's tasks.
  *
  * @param kind - the kind
  * @returns the mean, ms
  * @example
- * findMeanWork(PROFILES['tender-desk'].kinds[2]); // about 72
+ * computeMeanWorkMs(PROFILES['tender-desk'].kinds[2]); // about 72
  */
 export function computeMeanWorkMs(kind: ProfileKind): number {
   const [from, to] = kind.workMs;
-  const usualMs = (to - from) / Math.log(to / from);
+  const regularMs = (to - from) / Math.log(to / from);
   const longMs = (LONG_TASK_MS[0] + LONG_TASK_MS[1]) / 2;
-  return usualMs * (1 - kind.longShare) + longMs * kind.longShare;
+  return regularMs * (1 - kind.longShare) + longMs * kind.longShare;
 }
 
 /**
@@ -128,9 +132,9 @@
  * @param profile - the profile
  * @param event - name of the event
  * @param options - start of the event, and a deadline that overrides those of the kinds
- * @returns a statement of the operators' language
+ * @returns an operator command
  */
-export function buildDeclaration(
+export function buildDeclareCommand(
   profile: Profile,
   event: string,
   options: { readonly startAt: number; readonly deadlineMs?: number },
--- a/src/load/runEmbedded.ts
+++ b/src/load/runEmbedded.ts
@@ -5,7 +5,7 @@
 import { buildReport } from './buildReport.js';
 import type { LoadReport, ProcessCounts } from './buildReport.js';
 import { POLICIES } from './policies.js';
-import { buildDeclaration } from './profile.js';
+import { buildDeclareCommand } from './profile.js';
 import { runPlan } from './runPlan.js';
 import { rankByWork, scheduleIdeal } from './scheduleIdeal.js';
 
@@ -41,10 +41,14 @@
     const startAt = Date.now() + START_DELAY_MS;
     const { deadlineMs } = options;
     await cluster.runCommand(
-      buildDeclaration(profile, EVENT_NAME, deadlineMs === undefined ? { startAt } : { startAt, deadlineMs }),
+      buildDeclareCommand(
+        profile,
+        EVENT_NAME,
+        deadlineMs === undefined ? { startAt } : { startAt, deadlineMs },
+      ),
     );
     const before = readCounts(cluster);
-    const urls = cluster.entries.map((_, index) => cluster.entryUrl(index));
+    const urls = cluster.entries.map((_, index) => cluster.buildEntryUrl(index));
     const runId = `run-${options.seed}-${policy}`;
     const outcomes = await runPlan(jobs, { entries: urls, event: EVENT_NAME, startAt, runId });
     const after = readCounts(cluster);
--- a/src/load/runPlan.ts
+++ b/src/load/runPlan.ts
@@ -6,12 +6,13 @@
 
 import type { PlannedJob } from './createPlan.js';
 
-/** Outcome of one job. */
+/** Outcome of one job. `broken`: no valid answer, or one that does not match the job. */
 export interface JobOutcome {
   readonly outcome: 'complete' | 'refused' | 'failed' | 'broken';
   readonly reason: string;
-  /** Time from the planned send time to the answer, ms, which avoids coordinated omission. */
+  /** Time until the answer, ms; counted from the planned send time to avoid coordinated omission. */
   readonly responseMs: number;
+  /** HTTP status; 0 without an answer. */
   readonly status: number;
 }
 
@@ -36,7 +37,7 @@
  * Sends every job at its planned time, whether or not earlier ones were answered.
  *
  * @param jobs - the plan
- * @param options - entries, event and start
+ * @param options - target and identification of the run
  * @returns the outcomes, in the order of the jobs
  */
 export async function runPlan(jobs: readonly PlannedJob[], options: RunOptions): Promise<JobOutcome[]> {
@@ -45,26 +46,20 @@
   );
   const bodies = jobs.map((job) => buildBody(job, options));
   const clockOffsetMs = performance.now() - Date.now();
-  const startAt = options.startAt + clockOffsetMs;
+  const monotonicStartMs = options.startAt + clockOffsetMs;
   const responses: Promise<JobOutcome>[] = [];
   for (const [index, job] of jobs.entries()) {
-    const wait = startAt + job.atMs - performance.now();
-    if (wait > 1) await sleep(wait);
+    const waitMs = monotonicStartMs + job.atMs - performance.now();
+    if (waitMs > 1) await sleep(waitMs);
     const pool = pools[index % pools.length] as Pool;
-    responses.push(sendJob(pool, job, bodies[index] as string, startAt + job.atMs, options));
+    responses.push(sendJob(pool, job, bodies[index] as string, monotonicStartMs + job.atMs, options));
   }
   const outcomes = await Promise.all(responses);
   await Promise.all(pools.map((pool) => pool.destroy()));
   return outcomes;
 }
 
-/**
- * Builds the key of a job.
- *
- * @param runId - id of the run
- * @param number - number of the job
- * @returns the job key
- */
+/** Builds the idempotency key of a job. */
 export function buildJobKey(runId: string, number: number): string {
   return `${runId}-${number}`;
 }
@@ -111,6 +106,6 @@
   const isCorrect = answer.answers?.every(
     (taskAnswer, index) => taskAnswer.status === 200 && taskAnswer.body.echo === `${key}/${index}`,
   );
-  if (!isComplete || !isCorrect) return { outcome: 'broken', reason: 'the echoes do not match the tasks' };
+  if (!isComplete || !isCorrect) return { outcome: 'broken', reason: 'the answers do not match the tasks' };
   return { outcome: 'complete', reason: '' };
 }
--- a/src/ports/UpstreamApi.ts
+++ b/src/ports/UpstreamApi.ts
@@ -6,7 +6,10 @@
   readonly job: string;
   readonly step: number;
   readonly index: number;
-  /** Counts the starts of the task at this upstream, from 1. */
+  /**
+   * Number of the run, from 1; higher for each new run of the task at this upstream, unchanged when a start
+   * is repeated.
+   */
   readonly run: number;
 }
 
@@ -14,20 +17,21 @@
 export interface RunStart {
   readonly name: RunName;
   readonly spec: string;
-  /** End of the lease for all runs there, on the upstream's clock, ms. */
+  /** End of the lease for all runs at the upstream, on the upstream's clock, ms. */
   readonly leaseUntilMs: number;
   readonly fencingToken: number;
 }
 
 /**
  * Outcome of a start. `superseded`: this or a newer run of the task has already been stopped or has ended
- * there; `late`: the lease had expired on arrival; `refused`: the upstream rejected the order without any
- * effect.
+ * there; `late`: the lease had expired on arrival; `no-room`: not enough free capacity; `fenced`: a newer
+ * fencing token was seen; `refused`: the upstream rejected the order without any effect; `invalid`: any other
+ * rejection; `other-life`: an upstream with another id answered.
  */
 export type StartVerdict =
   'started' | 'superseded' | 'late' | 'no-room' | 'fenced' | 'refused' | 'invalid' | 'other-life';
 
-/** Answer to an order, with the upstream's clock in ms if the answer holds it. */
+/** Answer to an order, with the upstream's clock in ms if the answer contains it. */
 export interface OrderAnswer<Verdict extends string> {
   readonly verdict: Verdict;
   readonly clockMs: number | undefined;
@@ -54,7 +58,7 @@
   readonly end: RunEnd;
 }
 
-/** Renews the lease and requests the running and ended runs. */
+/** Request to renew the lease and to list the running and ended runs. */
 export interface LeaseRenewal {
   /** New end of the lease; undefined to leave it unchanged. */
   readonly leaseUntilMs: number | undefined;
@@ -81,8 +85,8 @@
 
 /**
  * Client of one upstream. The verdict is `other-life` when an upstream with another id answers. Calls reject
- * when no answer arrives in time; with a ConnectionRefusedError, when nothing listens at the address, so that
- * nothing was sent.
+ * if no valid answer arrives in time. They reject with a ConnectionRefusedError if nothing listens at the
+ * address, so the order was not sent.
  */
 export abstract class UpstreamApi {
   abstract start(order: RunStart, timeoutMs: number): Promise<OrderAnswer<StartVerdict>>;
--- a/src/process/ConfigurationExchange.test.ts
+++ b/src/process/ConfigurationExchange.test.ts
@@ -3,7 +3,7 @@
 import { buildRoutes } from '../../test/fakes/buildRoutes.js';
 import { FakeTimeline } from '../../test/fakes/FakeTimeline.js';
 import type { PeerMessage } from '../connection/peer/peerMessages.js';
-import { encodeConfiguration } from '../connection/peer/packedConfiguration.js';
+import { encodeConfiguration } from '../connection/peer/encodedConfiguration.js';
 import type { Configuration } from '../version/configuration.js';
 import { ConfigurationExchange } from './ConfigurationExchange.js';
 import type { PeerChannel } from './VersionExchange.js';
--- a/src/process/ConfigurationExchange.ts
+++ b/src/process/ConfigurationExchange.ts
@@ -1,10 +1,10 @@
 /**
  * Replicates the configuration between processes. Both sides of a link report their version with each ping
  * and pong. The side that is behind requests a summary, which is small and lists the services, and then
- * fetches the packed text in pieces, at a limited rate that leaves bandwidth for other messages.
+ * fetches the encoded text in pieces, at a limited rate that leaves bandwidth for other messages.
  *
- * A process that does not use routes stores only the packed text, to forward it. It delays the fetch until no
- * newer version has appeared for a while.
+ * A process that does not use routes stores only the encoded text, to forward it. It delays the fetch until
+ * no newer version has appeared for a while.
  */
 import type { Timeline } from '../_lib/Timeline.js';
 import type {
@@ -14,10 +14,10 @@
   PeerMessage,
 } from '../connection/peer/peerMessages.js';
 import {
-  checkPacked,
+  checkEncodedConfiguration,
   decodeConfiguration,
   encodeConfiguration,
-} from '../connection/peer/packedConfiguration.js';
+} from '../connection/peer/encodedConfiguration.js';
 import type { Configuration } from '../version/configuration.js';
 import { listServices } from '../version/listServices.js';
 import type { PeerChannel } from './VersionExchange.js';
@@ -52,7 +52,7 @@
  */
 const FETCH_DELAY_MS = 1_000;
 const MAX_FETCH_DELAY_MS = 10_000;
-/** Longest packed text that is fetched without this delay, characters; it fits one piece. */
+/** Longest encoded text that is fetched without this delay, characters; it fits one piece. */
 const MAX_UNDELAYED_LENGTH = 8_192;
 /** Longest list of services in a summary, characters; a longer list is read from the text. */
 const MAX_SERVICES_LENGTH = 1_024;
@@ -62,7 +62,7 @@
 
 /** Options of a configuration exchange. */
 export interface ExchangeOptions {
-  /** Whether the process needs the routes; otherwise only the packed text is stored. */
+  /** Whether the process needs the routes; otherwise only the encoded text is stored. */
   readonly usesRoutes: boolean;
   /** Bandwidth of the VM's link, Mbit/s. */
   readonly linkMbps: number;
@@ -81,7 +81,7 @@
   readonly recordFault: (version: number, problem: string) => void;
 }
 
-/** A complete version, as a configuration, packed text or both. */
+/** A complete version, as a configuration, encoded text or both. */
 interface HeldVersion {
   readonly version: number;
   readonly configuration: Configuration | undefined;
@@ -276,7 +276,7 @@
   /** @returns what is wrong with the text; empty for nothing */
   private storeText(version: number, text: string): string {
     if (this.known?.version !== version) return this.storeRoutes(version, text);
-    const problem = checkPacked(text);
+    const problem = checkEncodedConfiguration(text);
     if (problem === '') this.storeVersion({ version, configuration: undefined, text });
     return problem;
   }
@@ -311,7 +311,7 @@
     const end = position + Math.min(length, this.rateLimiter.pieceLength);
     const piece = text.slice(position, end);
     const message = { type: 'configuration-piece', version, position, length: text.length } as const;
-    return { message: { ...message, text: piece }, bytes: piece.length };
+    return { message: { ...message, text: piece }, length: piece.length };
   }
 
   /** Builds the whole configuration for a peer of an earlier version, which does not support pieces. */
@@ -325,7 +325,7 @@
     return undefined;
   }
 
-  /** Returns the packed text, which is encoded on first use. */
+  /** Returns the encoded text, which is encoded on first use. */
   private readText(held: HeldVersion): string {
     if (held.text === undefined && held.configuration) held.text = encodeConfiguration(held.configuration);
     return held.text ?? '';
@@ -333,5 +333,5 @@
 }
 
 function measureMessage(message: PeerMessage): SizedMessage {
-  return { message, bytes: JSON.stringify(message).length };
+  return { message, length: JSON.stringify(message).length };
 }
--- a/src/process/LocalCluster.ts
+++ b/src/process/LocalCluster.ts
@@ -13,10 +13,10 @@
 
 /** Failure domains assigned to the processes in turn. */
 const DOMAINS = ['bern', 'olten', 'aarau'];
-/** Longest wait until the cluster is ready, ms. */
-const READY_MS = 20_000;
+/** Timeout for the cluster to become ready, ms. */
+const READY_TIMEOUT_MS = 20_000;
 
-/** Cluster whose processes all run in the current one. */
+/** A cluster that runs within the current process. */
 export class LocalCluster {
   readonly entries: EntryDaemon[] = [];
   readonly agents: AgentDaemon[] = [];
@@ -27,11 +27,14 @@
   constructor(private readonly options: LocalOptions) {}
 
   /** Returns the URL of an entry. */
-  entryUrl(index = 0): string {
+  buildEntryUrl(index = 0): string {
     return `http://127.0.0.1:${this.entries[index]?.httpPort ?? 0}`;
   }
 
-  /** Starts all processes, waits until every entry is ready, and declares the default event. */
+  /**
+   * Starts all processes, waits until every entry is ready and linked to all agents, and declares the default
+   * event.
+   */
   async start(): Promise<void> {
     const platformSettings = await readSettings('platform', undefined, { port: 0, liveLagMs: 50 });
     this.platform = new PlatformStandin(platformSettings);
@@ -59,13 +62,13 @@
   async runCommand(text: string): Promise<unknown> {
     const headers = { authorization: `Bearer ${LOCAL_SECRET}` };
     const body = JSON.stringify({ text });
-    const response = await request(`${this.entryUrl()}/v1/commands`, { method: 'POST', body, headers });
+    const response = await request(`${this.buildEntryUrl()}/v1/commands`, { method: 'POST', body, headers });
     const answer = await response.body.json();
     if (response.statusCode !== 200) throw new PlatformError(`${text}: ${JSON.stringify(answer)}`);
     return answer;
   }
 
-  /** Returns how often the upstreams started each task, by task id. */
+  /** Counts the starts of each task at all upstreams, by task id. */
   async readStarts(): Promise<Map<string, number>> {
     const starts = new Map<string, number>();
     for (const upstream of this.upstreams) {
@@ -114,20 +117,20 @@
   }
 
   private async waitUntilReady(): Promise<void> {
-    const until = Date.now() + READY_MS;
+    const until = Date.now() + READY_TIMEOUT_MS;
     while (Date.now() < until) {
-      const ready = this.entries.every(
+      const isLinked = this.entries.every(
         (entry) => Number(entry.buildStats()['agents']) >= this.options.agents,
       );
-      const healthy = await Promise.all(this.entries.map((_, index) => this.isReady(index)));
-      if (ready && healthy.every(Boolean)) return;
+      const readiness = await Promise.all(this.entries.map((_, index) => this.isReady(index)));
+      if (isLinked && readiness.every(Boolean)) return;
       await sleep(50);
     }
     throw new PlatformError('the local cluster did not become ready');
   }
 
   private async isReady(index: number): Promise<boolean> {
-    const response = await request(`${this.entryUrl(index)}/readyz`);
+    const response = await request(`${this.buildEntryUrl(index)}/readyz`);
     await response.body.dump();
     return response.statusCode === 200;
   }
--- a/src/process/ServedMetrics.ts
+++ b/src/process/MetricsServer.ts
@@ -14,26 +14,26 @@
 export interface MetricDefinition {
   readonly kind: 'counter' | 'histogram' | 'gauge';
   readonly help: string;
-  /** Label names of a counter. */
+  /** Label names of a counter; for a gauge with `readEach`, its one label. */
   readonly labels?: readonly string[];
   /** Upper bounds of the buckets of a histogram, in the unit of the metric. */
   readonly buckets?: readonly number[];
   /** Reads the value of a gauge at each scrape. */
   readonly read?: () => number;
   /** Reads the values of a gauge with one label at each scrape, by label value. */
-  readonly readEach?: () => ReadonlyMap<string, number>;
+  readonly readByLabel?: () => ReadonlyMap<string, number>;
 }
 
 /** Labels of one observation. */
 export type MetricLabels = Readonly<Record<string, string>>;
 
-/** Most observations that are buffered until the library is loaded; further ones are dropped. */
+/** Maximum number of observations buffered until the library is loaded; further ones are dropped. */
 const MAX_PENDING_OBSERVATIONS = 50_000;
 /** Delay after which the library is loaded, ms. */
 const LOAD_DELAY_MS = 1_500;
 
 /** Metrics of one process. */
-export class ServedMetrics {
+export class MetricsServer {
   private readonly counters = new Map<string, Counter>();
   private readonly histograms = new Map<string, Histogram>();
   private pending: (() => void)[] | undefined = [];
@@ -94,14 +94,14 @@
     library: typeof MetricsLibrary,
     registry: Registry,
     name: string,
-    { kind, help, labels = [], buckets = [], read, readEach }: MetricDefinition,
+    { kind, help, labels = [], buckets = [], read, readByLabel: readEach }: MetricDefinition,
   ): void {
     const base = { name, help, registers: [registry] };
     if (kind === 'counter') this.counters.set(name, new library.Counter({ ...base, labelNames: labels }));
     if (kind === 'histogram') {
       this.histograms.set(name, new library.Histogram({ ...base, buckets: [...buckets] }));
     }
-    if (kind === 'gauge' && readEach) defineEach(library, { ...base, labelNames: labels }, readEach);
+    if (kind === 'gauge' && readEach) defineLabeledGauge(library, { ...base, labelNames: labels }, readEach);
     if (kind !== 'gauge' || !read) return;
     const collect = function (this: Gauge): void {
       this.set(read());
@@ -116,13 +116,14 @@
         response.writeHead(200, { 'content-type': registry.contentType }).end(text);
       });
     });
+    // Metrics are optional: the process must keep running if the port is in use.
     this.server.on('error', () => undefined);
     this.server.listen(port, host);
   }
 }
 
-/** Defines a gauge with one label; label values that are no longer read are removed. */
-function defineEach(
+/** Defines a gauge with one label; label values missing from the latest read are removed. */
+function defineLabeledGauge(
   library: typeof MetricsLibrary,
   base: { name: string; help: string; registers: Registry[]; labelNames: readonly string[] },
   readEach: () => ReadonlyMap<string, number>,
--- a/src/process/PieceReceiver.ts
+++ b/src/process/PieceReceiver.ts
@@ -1,5 +1,5 @@
 /**
- * Fetches a packed configuration in pieces, from one peer at a time; each piece is requested once the
+ * Fetches an encoded configuration in pieces, from one peer at a time; each piece is requested once the
  * previous one has arrived. When the peer is lost, the transfer continues from another one.
  */
 import type { Timeline } from '../_lib/Timeline.js';
@@ -95,7 +95,7 @@
     this.events.finish(this.wantedVersion, text, channel);
   }
 
-  /** Restarts the transfer when a peer's packed text differs from that of the previous peer. */
+  /** Restarts the transfer when a peer's encoded text differs from that of the previous peer. */
   private askFromStart(channel: PeerChannel): void {
     this.clearParts();
     this.askNext(channel);
--- a/src/process/PieceSender.test.ts
+++ b/src/process/PieceSender.test.ts
@@ -26,7 +26,7 @@
           },
         };
         const ask = (): void => {
-          sender.add(channel, false, () => ({ message: MESSAGE, bytes: limiter.pieceLength }));
+          sender.add(channel, false, () => ({ message: MESSAGE, length: limiter.pieceLength }));
         };
         ask();
       });
@@ -43,9 +43,9 @@
     const listen = (name: string): PeerChannel => ({ send: () => sent.push(name) });
     const [first, asksTwice, leaves] = [listen('first'), listen('asks-twice'), listen('leaves')];
     const built: number[] = [];
-    const build = (number: number) => (): { message: typeof MESSAGE; bytes: number } => {
+    const build = (number: number) => (): { message: typeof MESSAGE; length: number } => {
       built.push(number);
-      return { message: MESSAGE, bytes: 100 };
+      return { message: MESSAGE, length: 100 };
     };
     sender.add(first, false, build(1));
     sender.add(asksTwice, false, build(2));
--- a/src/process/PieceSender.ts
+++ b/src/process/PieceSender.ts
@@ -1,27 +1,28 @@
 /**
- * Sends pieces of large messages to peers at a limited total rate, so that they do not delay other messages.
- * Each peer has at most one pending request, and a piece is built only when it is sent, so that it is up to
- * date.
+ * Sends pieces of large messages to peers at a limited total rate, to limit the delay of other messages. At
+ * most one piece is queued per peer; it is built when it is sent, so that it is up to date.
  */
 import type { Timeline } from '../_lib/Timeline.js';
 import type { PeerMessage } from '../connection/peer/peerMessages.js';
 import type { PeerChannel } from './VersionExchange.js';
 import type { PieceRateLimiter } from './PieceRateLimiter.js';
 
-/** A message and its size. */
+/** A message and the length that determines the interval to the next piece. */
 export interface SizedMessage {
   readonly message: PeerMessage;
-  readonly bytes: number;
+  /** Length of the encoded message, characters; may leave out its header. */
+  readonly length: number;
 }
 
-/** Builds the message to send; undefined for none. */
+/** Builds the message to send; returns undefined if there is none. */
 export type PieceBuilder = () => SizedMessage | undefined;
 
 /** Sends pieces to all peers, one at a time. */
 export class PieceSender {
-  /** Requests of peers that cannot serve without the answer; they are handled first. */
+  /** Queued pieces for peers that cannot serve callers until they receive them; sent first. */
   private readonly urgent = new Map<PeerChannel, PieceBuilder>();
-  private readonly others = new Map<PeerChannel, PieceBuilder>();
+  /** Queued pieces for all other peers. */
+  private readonly regular = new Map<PeerChannel, PieceBuilder>();
   /** Earliest time of the next piece, ms. */
   private nextSendAt = -Infinity;
   private isScheduled = false;
@@ -31,21 +32,21 @@
     private readonly timeline: Timeline,
   ) {}
 
-  /** Queues a piece for a peer, replacing its pending request. */
+  /** Queues a piece for a peer, replacing its queued one. */
   add(channel: PeerChannel, isUrgent: boolean, build: PieceBuilder): void {
     this.drop(channel);
-    (isUrgent ? this.urgent : this.others).set(channel, build);
+    (isUrgent ? this.urgent : this.regular).set(channel, build);
     this.sendDue();
   }
 
-  /** Removes the pending request of a peer. */
+  /** Removes the queued piece of a peer. */
   drop(channel: PeerChannel): void {
     this.urgent.delete(channel);
-    this.others.delete(channel);
+    this.regular.delete(channel);
   }
 
   private sendDue(): void {
-    const queue = this.urgent.size > 0 ? this.urgent : this.others;
+    const queue = this.urgent.size > 0 ? this.urgent : this.regular;
     const [next] = queue;
     if (!next || this.isScheduled) return;
     const now = this.timeline.now();
@@ -54,7 +55,7 @@
     queue.delete(channel);
     const sized = build();
     if (sized) {
-      this.nextSendAt = now + this.rateLimiter.computeIntervalMs(sized.bytes);
+      this.nextSendAt = now + this.rateLimiter.computeIntervalMs(sized.length);
       channel.send(sized.message);
     }
     this.sendDue();
--- a/src/process/dispatcher/DispatcherDaemon.ts
+++ b/src/process/dispatcher/DispatcherDaemon.ts
@@ -28,7 +28,7 @@
 import type { UpdateSource } from '../OperatorExchange.js';
 import { logFailure } from '../failures.js';
 import { PauseGuard } from '../PauseGuard.js';
-import { ServedMetrics } from '../ServedMetrics.js';
+import { MetricsServer } from '../MetricsServer.js';
 import type { DispatchSettings } from '../settings/dispatchSettings.js';
 import { startTimer } from '../startTimer.js';
 import { roundSpeed } from '../roundSpeed.js';
@@ -78,7 +78,7 @@
   private readonly incarnation: string;
   private readonly place: DispatcherPlace;
   private readonly logger: ProcessLogger;
-  private readonly metrics: ServedMetrics;
+  private readonly metrics: MetricsServer;
   private readonly dispatcher: Dispatcher;
   private readonly listener: PeerListener;
   private readonly peers: DispatcherPeers;
@@ -140,7 +140,7 @@
       readEmptiedDomains: () => this.exchange.emptied?.domains.length ?? 0,
       readEmptiedRevision: () => this.exchange.versions.emptiedRevision,
     };
-    this.metrics = new ServedMetrics(settings.metricsAddress, buildDispatcherMetrics(gauges));
+    this.metrics = new MetricsServer(settings.metricsAddress, buildDispatcherMetrics(gauges));
     this.pauseGuard = new PauseGuard(this.clock.now(), (gapMs) => {
       this.logger.warn('paused', { gapMs: Math.round(gapMs), openJobs: this.dispatcher.openJobs });
       this.peers.handlePause();
--- a/src/process/dispatcher/dispatcherMetrics.ts
+++ b/src/process/dispatcher/dispatcherMetrics.ts
@@ -1,5 +1,5 @@
 /** Metrics of a dispatcher. */
-import type { MetricDefinition } from '../ServedMetrics.js';
+import type { MetricDefinition } from '../MetricsServer.js';
 
 const DURATION_BUCKETS_MS = [10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400];
 
@@ -46,7 +46,7 @@
       kind: 'gauge',
       help: 'Tasks that wait for an agent, by priority of their queue',
       labels: ['priority'],
-      readEach: gauges.readWaitingByPriority,
+      readByLabel: gauges.readWaitingByPriority,
     },
     dispatcher_work: {
       kind: 'counter',
--- a/src/process/executor/ExecutorDaemon.ts
+++ b/src/process/executor/ExecutorDaemon.ts
@@ -16,7 +16,7 @@
 import type { Resources } from '../../request/dispatch/submission.js';
 import type { DispatchSettings } from '../settings/dispatchSettings.js';
 import { startTimer } from '../startTimer.js';
-import { ServedMetrics } from '../ServedMetrics.js';
+import { MetricsServer } from '../MetricsServer.js';
 import { Executor } from './Executor.js';
 import { buildIncarnationName } from './buildIncarnationName.js';
 import { DispatcherLinks } from './DispatcherLinks.js';
@@ -46,7 +46,7 @@
 export class ExecutorDaemon {
   private readonly clock = createDaemonClock((event, fields) => this.logDecision(event, fields));
   private readonly logger: ProcessLogger;
-  private readonly metrics: ServedMetrics;
+  private readonly metrics: MetricsServer;
   private readonly executor: Executor;
   private readonly links: DispatcherLinks;
   private readonly pauseGuard: PauseGuard;
@@ -91,7 +91,7 @@
       },
       settings.roomSharing,
     );
-    this.metrics = new ServedMetrics(
+    this.metrics = new MetricsServer(
       settings.metricsAddress,
       buildExecutorMetrics({
         readLoad: () => this.executor.load,
--- a/src/process/executor/executorMetrics.ts
+++ b/src/process/executor/executorMetrics.ts
@@ -1,5 +1,5 @@
 /** Metrics of an executor. */
-import type { MetricDefinition } from '../ServedMetrics.js';
+import type { MetricDefinition } from '../MetricsServer.js';
 
 /** Sources of the gauges. */
 export interface ExecutorGauges {
--- a/test/fakes/FakeWorld.ts
+++ b/test/fakes/ClusterSimulation.ts
@@ -28,7 +28,7 @@
 }
 
 /** Sizes and faults of a simulation. */
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly seed: number;
   readonly entries: number;
   readonly agents: number;
@@ -96,7 +96,7 @@
 }
 
 /** Simulation of entries, agents and the log. */
-export class FakeWorld {
+export class ClusterSimulation {
   now = START;
   readonly log = new FakeLog();
   readonly processes = new Map<string, Process>();
@@ -114,7 +114,7 @@
   /** Returns a number from 0 to 1. */
   readonly nextRandom: () => number;
 
-  constructor(private readonly options: WorldOptions) {
+  constructor(private readonly options: SimulationOptions) {
     this.nextRandom = createRandom(options.seed);
     this.log.append(
       { type: 'event', id: 'declare', action: 'declare', decidedOn: 0, event: OPENING },
--- a/test/fakes/DispatchSimulation.ts
+++ b/test/fakes/DispatchSimulation.ts
@@ -178,7 +178,7 @@
   }
 
   /** Makes a connection unresponsive; its executor closes it later, which the dispatcher does not notice. */
-  async silenceConnection(dispatcherIndex: number, executorIndex: number, ms: number): Promise<void> {
+  async blockConnection(dispatcherIndex: number, executorIndex: number, ms: number): Promise<void> {
     const link = this.links.get(`${dispatcherIndex % DISPATCHERS}/${executorIndex % EXECUTORS}`);
     if (!link) return;
     link.silent = true;
@@ -219,7 +219,7 @@
   }
 
   /** Makes an upstream unresponsive for some time. */
-  async silenceUpstream(index: number, ms: number): Promise<void> {
+  async blockUpstream(index: number, ms: number): Promise<void> {
     const { fake } = pickOne(this.executors, index).upstream;
     fake.silent = true;
     await this.advance(ms);
--- a/test/fakes/dispatchCommands.ts
+++ b/test/fakes/dispatchCommands.ts
@@ -3,7 +3,7 @@
 
 import type { DispatchSimulation } from './DispatchSimulation.js';
 
-type WorldCommand = fc.AsyncCommand<object, DispatchSimulation>;
+type SimulationCommand = fc.AsyncCommand<object, DispatchSimulation>;
 
 /** Most commands of one run. */
 const MAX_COMMANDS = 40;
@@ -11,7 +11,7 @@
 function createCommand(
   name: string,
   run: (simulation: DispatchSimulation) => void | Promise<void>,
-): WorldCommand {
+): SimulationCommand {
   return { check: () => true, run: async (_, simulation) => run(simulation), toString: () => name };
 }
 
@@ -72,21 +72,19 @@
     createCommand(`disturb(${at},${how},${count})`, (simulation) => simulation.setFates(at, how, count)),
   );
 
-const silence = fc
+const blockUpstream = fc
   .tuple(index, fc.constantFrom(100, 500, 1_200, 2_500))
-  .map(([at, ms]) =>
-    createCommand(`silence(${at},${ms})`, (simulation) => simulation.silenceUpstream(at, ms)),
-  );
+  .map(([at, ms]) => createCommand(`silence(${at},${ms})`, (simulation) => simulation.blockUpstream(at, ms)));
 
 const hang = fc
   .tuple(index, fc.boolean())
   .map(([at, hangs]) => createCommand(`hang(${at},${hangs})`, (simulation) => simulation.hang(at, hangs)));
 
-const mute = fc
+const blockConnection = fc
   .tuple(index, index, fc.constantFrom(100, 300, 600, 1_500))
   .map(([dispatcher, executor, ms]) =>
     createCommand(`mute(${dispatcher},${executor},${ms})`, (simulation) =>
-      simulation.silenceConnection(dispatcher, executor, ms),
+      simulation.blockConnection(dispatcher, executor, ms),
     ),
   );
 
@@ -138,7 +136,7 @@
     ),
   );
 
-const changeRoom = fc
+const changeCapacity = fc
   .tuple(index, fc.integer({ min: 0, max: 6 }), fc.boolean())
   .map(([at, tasks, reports]) =>
     createCommand(`changeRoom(${at},${tasks},${reports})`, (simulation) =>
@@ -159,7 +157,7 @@
   reset,
   crash,
   disturb,
-  silence,
+  blockUpstream,
   hang,
 ];
 
@@ -168,13 +166,13 @@
 
 /** Adds unresponsive connections and delayed messages of earlier incarnations. */
 export const lateReportCommands = fc.commands(
-  [...EARLIER_COMMANDS, mute, mute, replace, lateReport, lateReport, lateHello],
+  [...EARLIER_COMMANDS, blockConnection, blockConnection, replace, lateReport, lateReport, lateHello],
   { maxCommands: MAX_COMMANDS, size: 'max' },
 );
 
 /** Adds failure domains that are emptied and restored. */
 export const domainCommands = fc.commands(
-  [...EARLIER_COMMANDS, mute, lateHello, changeDomain, changeDomain, changeDomain],
+  [...EARLIER_COMMANDS, blockConnection, lateHello, changeDomain, changeDomain, changeDomain],
   { maxCommands: MAX_COMMANDS, size: 'max' },
 );
 
@@ -192,6 +190,6 @@
 
 /** Adds upstreams whose capacity changes. */
 export const capacityCommands = fc.commands(
-  [...EARLIER_COMMANDS, replace, lateReport, changeRoom, changeRoom, changeRoom, changeRoom],
+  [...EARLIER_COMMANDS, replace, lateReport, changeCapacity, changeCapacity, changeCapacity, changeCapacity],
   { maxCommands: MAX_COMMANDS, size: 'max' },
 );
