--- a/bench/ProcessCluster.ts
+++ b/bench/ProcessCluster.ts
@@ -1,4 +1,4 @@
-/** Entries, agents and stand-ins as separate processes on loopback, for measurements and failure tests. */
+/** Entries, agents and stand-ins as separate processes on loopback, for benchmarks and failure tests. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { mkdtemp, writeFile } from 'node:fs/promises';
@@ -16,7 +16,7 @@
 const READY_MS = 30_000;
 const DOMAINS = ['bern', 'olten', 'aarau'];
 
-/** Sizes of a cluster and settings that go before the defaults. */
+/** Sizes of a cluster, and settings that override the defaults. */
 export interface ClusterOptions {
   readonly entries: number;
   readonly agents: number;
@@ -26,7 +26,7 @@
   readonly platformSettings?: Readonly<Record<string, unknown>>;
 }
 
-/** One process of the cluster. */
+/** Process of a cluster. */
 export interface Member {
   readonly id: string;
   readonly args: readonly string[];
@@ -34,7 +34,7 @@
   child: ChildProcess;
 }
 
-/** Counters that a daemon shows at `/statsz`. */
+/** Counters that a daemon serves at `/statsz`. */
 export interface MemberStats {
   readonly cpuMs: number;
   readonly rssBytes: number;
@@ -45,7 +45,6 @@
   readonly [key: string]: unknown;
 }
 
-/** A cluster of processes. */
 export class ProcessCluster {
   readonly members = new Map<string, Member>();
   platformUrl = '';
@@ -53,7 +52,7 @@
 
   constructor(readonly options: ClusterOptions) {}
 
-  /** Starts everything and waits until the entries see every agent. */
+  /** Starts all processes and waits until every entry is linked to every agent. */
   async start(): Promise<void> {
     this.directory = await mkdtemp(path.join(tmpdir(), 'marblehall-'));
     const platformPort = await findPort();
@@ -71,13 +70,12 @@
     return this.members.get(id)?.url ?? '';
   }
 
-  /** URLs of all entries. */
   get entryUrls(): string[] {
     return [...this.members.values()].filter(({ id }) => id.startsWith('entry')).map(({ url }) => url);
   }
 
-  /** Ids that begin with a role. */
-  ids(role: string): string[] {
+  /** Lists the ids of the members of a role. */
+  listIds(role: string): string[] {
     return [...this.members.keys()].filter((id) => id.startsWith(role));
   }
 
@@ -86,7 +84,7 @@
     this.members.get(id)?.child.kill(signal);
   }
 
-  /** Waits until a member has ended and returns its exit code. */
+  /** Waits until a member has exited and returns its exit code, null after a signal. */
   async waitForExit(id: string): Promise<number | null> {
     const child = this.members.get(id)?.child;
     if (!child) return null;
@@ -94,27 +92,27 @@
     return new Promise((resolve) => child.once('exit', (code) => resolve(code)));
   }
 
-  /** Starts an ended member again, at the same address. */
+  /** Restarts an exited member at the same address. */
   restart(id: string): void {
     const member = this.members.get(id);
     if (member) member.child = this.spawn(member.args);
   }
 
-  /** Reads a JSON document of a member. */
-  async read<T>(id: string, path_: string): Promise<T> {
-    const response = await request(`${this.url(id)}${path_}`);
+  /** Reads a JSON document from a member's HTTP server. */
+  async read<T>(id: string, pathname: string): Promise<T> {
+    const response = await request(`${this.url(id)}${pathname}`);
     return (await response.body.json()) as T;
   }
 
-  /** Counters of one member. */
+  /** Reads the counters of a member. */
   async readStats(id: string): Promise<MemberStats> {
     return this.read<MemberStats>(id, '/statsz');
   }
 
-  /** Starts of every task at every upstream. */
+  /** Counts the starts of each task over all upstreams. */
   async readStarts(): Promise<Map<string, number>> {
     const starts = new Map<string, number>();
-    for (const id of this.ids('upstream')) {
+    for (const id of this.listIds('upstream')) {
       for (const [task, count] of Object.entries(await this.read<Record<string, number>>(id, '/starts'))) {
         starts.set(task, (starts.get(task) ?? 0) + count);
       }
@@ -122,13 +120,13 @@
     return starts;
   }
 
-  /** Switches faults of a stand-in. */
+  /** Sets faults of a stand-in. */
   async setFaults(id: string, faults: Readonly<Record<string, unknown>>): Promise<void> {
     const response = await request(`${this.url(id)}/faults`, { method: 'PUT', body: JSON.stringify(faults) });
     await response.body.dump();
   }
 
-  /** Runs an operator's statement at an entry. */
+  /** Runs an operator's command at an entry. */
   async runCommand(
     text: string,
     entry = 'entry-1',
@@ -139,23 +137,28 @@
     return { status: response.statusCode, body: (await response.body.json()) as Record<string, unknown> };
   }
 
-  /** Ends every process of the cluster. */
+  /** Kills every process of the cluster. */
   async stop(): Promise<void> {
     for (const { child } of this.members.values()) child.kill('SIGKILL');
     await sleep(50);
   }
 
-  /** Waits until a condition holds. */
+  /**
+   * Polls until a condition holds.
+   *
+   * @returns the time that this took, ms
+   * @throws Error when it does not hold within the timeout
+   */
   async waitFor(condition: () => Promise<boolean>, timeoutMs: number): Promise<number> {
     const begin = Date.now();
     while (Date.now() - begin < timeoutMs) {
       if (await condition().catch(() => false)) return Date.now() - begin;
       await sleep(20);
     }
-    throw new Error(`the condition did not hold within ${timeoutMs} ms`);
+    throw new Error(`condition did not hold within ${timeoutMs} ms`);
   }
 
-  /** Starts one more agent with its upstream. */
+  /** Starts an agent and its upstream. */
   async startAgent(number: number): Promise<void> {
     const upstreamPort = await findPort();
     const { slots = 8 } = this.options;
@@ -167,7 +170,7 @@
       upstreamUrl,
     );
     const settings = {
-      ...this.common(`agent-${number}`, number),
+      ...this.buildCommonSettings(`agent-${number}`, number),
       upstreamUrl,
       slots,
       ...this.options.agentSettings,
@@ -175,16 +178,18 @@
     await this.launchDaemon('agent', settings);
   }
 
-  /** Starts one more entry. */
   async startEntry(number: number): Promise<void> {
-    const settings = { ...this.common(`entry-${number}`, number), ...this.options.entrySettings };
+    const settings = {
+      ...this.buildCommonSettings(`entry-${number}`, number),
+      ...this.options.entrySettings,
+    };
     await this.launchDaemon('entry', settings);
   }
 
   /** Waits until every entry is ready and linked to every agent. */
   async waitUntilReady(): Promise<void> {
     await this.waitFor(async () => {
-      for (const id of this.ids('entry')) {
+      for (const id of this.listIds('entry')) {
         const stats = await this.readStats(id);
         if (stats.state !== 'ready' || Number(stats['agents']) < this.options.agents) return false;
       }
@@ -192,7 +197,7 @@
     }, READY_MS);
   }
 
-  private common(id: string, number: number): Record<string, unknown> {
+  private buildCommonSettings(id: string, number: number): Record<string, unknown> {
     const failureDomain = DOMAINS[number % DOMAINS.length];
     return { id, secret: LOCAL_SECRET, failureDomain, platformUrl: this.platformUrl, logLevel: 'warn' };
   }
@@ -220,7 +225,7 @@
       await response.body.dump();
       return true;
     }, READY_MS);
-    if (member.child.exitCode !== null) throw new Error(`${id} ended with ${member.child.exitCode}`);
+    if (member.child.exitCode !== null) throw new Error(`${id} exited with code ${member.child.exitCode}`);
   }
 
   private spawn(args: readonly string[]): ChildProcess {
@@ -228,21 +233,21 @@
   }
 }
 
-/** Ports below those that the system hands out by itself, so that no other socket takes one in between. */
+/** Below the ephemeral ports, so that no other socket takes a port before its process listens. */
 const FIRST_PORT = 12_000;
 const LAST_PORT = 32_000;
 let nextPort = FIRST_PORT + (process.pid % 1_000) * 20;
 
-/** Finds a free port on loopback that this process has not handed out. */
+/** Finds a free port on loopback that this process has not returned before. */
 async function findPort(): Promise<number> {
   for (;;) {
     nextPort = nextPort >= LAST_PORT ? FIRST_PORT : nextPort + 1;
     const port = nextPort;
-    if (await isFree(port)) return port;
+    if (await isPortFree(port)) return port;
   }
 }
 
-async function isFree(port: number): Promise<boolean> {
+async function isPortFree(port: number): Promise<boolean> {
   return new Promise((resolve) => {
     const server = createServer();
     server.once('error', () => resolve(false));
--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -1,4 +1,4 @@
-/** Measurements: `npm run bench -- burst|...`. Every figure is a ratio within one run, or says what it is. */
+/** Benchmarks: `npm run bench -- <command>`. */
 import { cac } from 'cac';
 
 import type { ProfileName } from '../src/load/profile.js';
@@ -20,11 +20,11 @@
 }
 
 cli
-  .command('burst', 'Burst at the start, policies in turn on separate processes')
-  .option('--seconds <number>', 'work, in seconds of all 88 slots', { default: 10 })
-  .option('--policies <names>', 'compared in turn', { default: 'product,baseline' })
+  .command('burst', 'Burst of jobs at the start of an event, on separate processes')
+  .option('--seconds <number>', 'total work, in seconds of all 88 slots', { default: 10 })
+  .option('--policies <names>', 'policies to compare', { default: 'product,baseline' })
   .option('--profiles <names>', 'workloads', { default: 'timber-exchange,tender-desk' })
-  .option('--rounds <number>', 'seeds', { default: 1 })
+  .option('--rounds <number>', 'number of seeds', { default: 1 })
   .action(async ({ seconds, policies, profiles, rounds }: BurstFlags) => {
     const names = profiles.split(',') as ProfileName[];
     await benchBurst({ seconds, policies: policies.split(','), profiles: names, rounds });
@@ -38,30 +38,30 @@
 }
 
 cli
-  .command('kills', 'Starts counted under kills and resubmission')
+  .command('kills', 'Duplicate starts while processes are killed and jobs are resubmitted')
   .option('--tasks <number>', 'tasks', { default: 200_000 })
   .option('--seed <number>', 'seed', { default: 1 })
-  .option('--every <ms>', 'between two kills', { default: 3_000 })
+  .option('--every <ms>', 'interval between kills', { default: 3_000 })
   .option('--victims <names>', 'entries | agents | both', { default: 'both' })
   .action(async ({ tasks, seed, every, victims }: KillFlags) => {
     await benchKills({ tasks, seed, killEveryMs: every, victims });
   });
 
 cli
-  .command('low', 'Added response at low load, beside direct calls')
+  .command('low', 'Response time added at low load, compared with direct calls')
   .option('--pairs <number>', 'pairs of calls', { default: 400 })
   .action(async ({ pairs }: { pairs: number }) => benchLow(pairs));
 
 cli
-  .command('throughput', 'Most task starts a second of one entry, with and without decision logs')
+  .command('throughput', 'Highest rate of task starts of one entry, with and without decision logs')
   .option('--agents <number>', 'agents', { default: 11 })
   .action(async ({ agents }: { agents: number }) => benchThroughput(agents));
 
 cli
-  .command('overload', 'Three times the capacity')
-  .option('--seconds <number>', 'how long', { default: 15 })
+  .command('overload', 'Load of three times the capacity')
+  .option('--seconds <number>', 'duration', { default: 15 })
   .option('--profiles <names>', 'workloads', { default: 'timber-exchange,tender-desk' })
-  .option('--policies <names>', 'compared in turn', { default: 'product,baseline' })
+  .option('--policies <names>', 'policies to compare', { default: 'product,baseline' })
   .action(
     async ({ seconds, profiles, policies }: { seconds: number; profiles: string; policies: string }) => {
       await benchOverload({
@@ -73,11 +73,11 @@
   );
 
 cli
-  .command('planned', '1,000 jobs while an agent and an entry stop as planned')
+  .command('planned', '1,000 jobs during a planned stop of an agent and an entry')
   .option('--seed <number>', 'seed', { default: 1 })
   .action(async ({ seed }: { seed: number }) => benchPlanned(seed));
 
-cli.command('machines', 'What state machines cost a task').action(() => benchMachines());
+cli.command('machines', 'Time of state transitions per task').action(() => benchMachines());
 
 cli.help();
 cli.parse(process.argv, { run: false });
--- a/bench/burst.ts
+++ b/bench/burst.ts
@@ -1,13 +1,12 @@
-/** The burst at the event's start, policies in turn: `npm run bench -- burst`. */
+/** Compares policies under a burst of jobs at the start of an event: `npm run bench -- burst`. */
 import type { LoadReport } from '../src/load/buildReport.js';
 import { PROFILES } from '../src/load/profile.js';
 import type { ProfileName } from '../src/load/profile.js';
 import { measureRun } from './measureRun.js';
 
-/** Deadline that no job of a burst misses, ms: the burst measures order, not refusal. */
+/** Deadline, ms; long enough that no job is refused for it. */
 const BURST_DEADLINE_MS = 300_000;
 
-/** Options of the burst. */
 export interface BurstOptions {
   readonly seconds: number;
   readonly policies: readonly string[];
@@ -15,7 +14,7 @@
   readonly rounds: number;
 }
 
-/** Runs the bursts and prints one line for each. */
+/** Runs one burst per profile, round and policy, and prints a line of JSON for each. */
 export async function benchBurst(options: BurstOptions): Promise<void> {
   for (const profile of options.profiles) {
     for (let round = 1; round <= options.rounds; round += 1) {
@@ -38,7 +37,7 @@
   }
 }
 
-/** The figures of a report that pages quote. */
+/** Selects and rounds the main figures of a report. */
 export function summarize(report: LoadReport): Record<string, unknown> {
   const round = (value: number): number => Number(value.toFixed(4));
   return {
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,6 +1,7 @@
 /**
- * Slopes for docs/CAPACITY.md, measured on real processes: one thing is varied at a time and a line fitted.
- * `npm run capacity` prints JSON lines and a table of slopes with the error of each fit.
+ * Measures how the cost of real processes grows with one parameter at a time, for docs/CAPACITY.md.
+ * `npm run capacity [-- SECTION...]` prints lines of JSON: each measurement, and the slope and standard error
+ * of each fitted line.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -9,13 +10,12 @@
 import type { ClusterOptions, MemberStats } from './ProcessCluster.js';
 import { buildCallerJob, submitUntilAnswered } from './resubmittingCaller.js';
 
-/** One measured point. */
 interface Point {
   readonly x: number;
   readonly y: number;
 }
 
-/** A fitted line. */
+/** Line fitted by least squares. */
 interface Fit {
   readonly slope: number;
   readonly intercept: number;
@@ -25,14 +25,14 @@
 
 const IDLE_SECONDS = 6;
 const LOAD_SECONDS = 6;
-const QUIET = { decisionLog: true };
+const DAEMON_SETTINGS = { decisionLog: true };
 
 /** Rates of one process over an interval. */
 interface Rates {
-  /** Processor time, ms a second. */
+  /** CPU time, ms/s. */
   readonly cpuMs: number;
   readonly rssMiB: number;
-  /** Messages sent a second, by type. */
+  /** Messages sent per second, by type. */
   readonly messages: Readonly<Record<string, number>>;
   readonly sentPerSecond: number;
   readonly bytesPerSecond: number;
@@ -51,29 +51,29 @@
   return { slope, intercept, error };
 }
 
-function report(name: string, unit: string, points: readonly Point[]): void {
+function printFit(name: string, unit: string, points: readonly Point[]): void {
   const { slope, intercept, error } = fitLine(points);
-  const digits = (value: number): number => Number(value.toPrecision(3));
+  const roundFigure = (value: number): number => Number(value.toPrecision(3));
   console.log(
     JSON.stringify({
       slope: name,
       unit,
-      value: digits(slope),
-      error: digits(error),
-      intercept: digits(intercept),
-      points: points.map(({ x, y }) => [digits(x), digits(y)]),
+      value: roundFigure(slope),
+      error: roundFigure(error),
+      intercept: roundFigure(intercept),
+      points: points.map(({ x, y }) => [roundFigure(x), roundFigure(y)]),
     }),
   );
 }
 
-async function withCluster<T>(
+async function runWithCluster<T>(
   options: ClusterOptions,
   run: (cluster: ProcessCluster) => Promise<T>,
 ): Promise<T> {
   const cluster = new ProcessCluster({
     ...options,
-    entrySettings: { ...QUIET, ...options.entrySettings },
-    agentSettings: { ...QUIET, ...options.agentSettings },
+    entrySettings: { ...DAEMON_SETTINGS, ...options.entrySettings },
+    agentSettings: { ...DAEMON_SETTINGS, ...options.agentSettings },
   });
   try {
     await cluster.start();
@@ -84,7 +84,7 @@
   }
 }
 
-function subtractRates(before: MemberStats, after: MemberStats, seconds: number): Rates {
+function computeRates(before: MemberStats, after: MemberStats, seconds: number): Rates {
   const messages: Record<string, number> = {};
   let sent = 0;
   for (const [type, count] of Object.entries(after.sentMessages)) {
@@ -103,7 +103,7 @@
   };
 }
 
-async function measure(
+async function measureRates(
   cluster: ProcessCluster,
   ids: readonly string[],
   run: () => Promise<void>,
@@ -115,18 +115,18 @@
   const seconds = (Date.now() - begin) / 1_000;
   const rates = new Map<string, Rates>();
   for (const id of ids)
-    rates.set(id, subtractRates(before.get(id) as MemberStats, await cluster.readStats(id), seconds));
+    rates.set(id, computeRates(before.get(id) as MemberStats, await cluster.readStats(id), seconds));
   return rates;
 }
 
-/** Idle cost of an entry by the number of its agents, of an agent by the number of entries. */
+/** Measures the idle cost of an entry by the number of agents, and of an agent by the number of entries. */
 async function measureIdle(): Promise<void> {
   const cpu: Point[] = [];
   const bytes: Point[] = [];
   const memory: Point[] = [];
   for (const agents of [4, 22, 44]) {
-    await withCluster({ entries: 1, agents }, async (cluster) => {
-      const rates = await measure(cluster, ['entry-1', 'agent-1'], () => sleep(IDLE_SECONDS * 1_000));
+    await runWithCluster({ entries: 1, agents }, async (cluster) => {
+      const rates = await measureRates(cluster, ['entry-1', 'agent-1'], () => sleep(IDLE_SECONDS * 1_000));
       const entry = rates.get('entry-1') as Rates;
       console.log(JSON.stringify({ idle: { agents, entry, agent: rates.get('agent-1') } }));
       cpu.push({ x: agents, y: entry.cpuMs });
@@ -134,54 +134,54 @@
       memory.push({ x: agents, y: entry.rssMiB });
     });
   }
-  report('entry, idle processor time by agents', 'ms/s per agent', cpu);
-  report('entry, idle bytes sent by agents', 'B/s per agent', bytes);
-  report('entry, memory by agents', 'MiB per agent', memory);
+  printFit('entry, idle CPU time by agents', 'ms/s per agent', cpu);
+  printFit('entry, idle bytes sent by agents', 'B/s per agent', bytes);
+  printFit('entry, memory by agents', 'MiB per agent', memory);
   const agentCpu: Point[] = [];
   const agentBytes: Point[] = [];
   for (const entries of [1, 4, 8]) {
-    await withCluster({ entries, agents: 6 }, async (cluster) => {
-      const rates = await measure(cluster, ['entry-1', 'agent-1'], () => sleep(IDLE_SECONDS * 1_000));
+    await runWithCluster({ entries, agents: 6 }, async (cluster) => {
+      const rates = await measureRates(cluster, ['entry-1', 'agent-1'], () => sleep(IDLE_SECONDS * 1_000));
       const agent = rates.get('agent-1') as Rates;
       console.log(JSON.stringify({ idle: { entries, entry: rates.get('entry-1'), agent } }));
       agentCpu.push({ x: entries, y: agent.cpuMs });
       agentBytes.push({ x: entries, y: agent.bytesPerSecond });
     });
   }
-  report('agent, idle processor time by entries', 'ms/s per entry', agentCpu);
-  report('agent, idle bytes sent by entries', 'B/s per entry', agentBytes);
+  printFit('agent, idle CPU time by entries', 'ms/s per entry', agentCpu);
+  printFit('agent, idle bytes sent by entries', 'B/s per entry', agentBytes);
 }
 
-const DECLARE = 'declare event capacity services s kinds k(service = s, deadline = 60s, expected = 10ms)';
+const DECLARATION = 'declare event capacity services s kinds k(service = s, deadline = 60s, expected = 10ms)';
 
-/** Sends jobs at a rate, open loop, and waits for all answers. */
+/** Sends jobs at a fixed rate (open loop) and waits for all answers. */
 async function sendSteadily(
   cluster: ProcessCluster,
   options: { tasksPerSecond: number; tasksPerJob: number; run: string; workMs: number },
 ): Promise<void> {
   const { tasksPerSecond, tasksPerJob, run, workMs } = options;
-  const every = (1_000 * tasksPerJob) / tasksPerSecond;
-  const jobs = Math.floor((LOAD_SECONDS * 1_000) / every);
+  const intervalMs = (1_000 * tasksPerJob) / tasksPerSecond;
+  const jobs = Math.floor((LOAD_SECONDS * 1_000) / intervalMs);
   const begin = Date.now();
-  const waiting: Promise<unknown>[] = [];
+  const pending: Promise<unknown>[] = [];
   const outcomes = new Map<string, number>();
   for (let number = 0; number < jobs; number += 1) {
-    const wait = begin + number * every - Date.now();
+    const wait = begin + number * intervalMs - Date.now();
     if (wait > 1) await sleep(wait);
     const work = Array.from({ length: tasksPerJob }, () => workMs);
     const job = buildCallerJob(`${run}-${number}`, 'capacity', 'k', work, 60_000);
     const sent = submitUntilAnswered(job, cluster.entryUrls, { first: number, tries: 1, patienceMs: 60_000 });
-    waiting.push(sent.then(({ outcome }) => outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1)));
+    pending.push(sent.then(({ outcome }) => outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1)));
   }
-  await Promise.all(waiting);
+  await Promise.all(pending);
   const others = [...outcomes].filter(([outcome]) => outcome !== 'complete');
   if (others.length > 0) console.log(JSON.stringify({ run, outcomes: Object.fromEntries(outcomes) }));
 }
 
-/** Cost of a task in an entry and an agent, by rate; of a job by its width. */
+/** Measures the cost of a task in an entry and an agent by rate, and of a job by its number of tasks. */
 async function measureTasks(): Promise<void> {
-  await withCluster({ entries: 1, agents: 8, slots: 64 }, async (cluster) => {
-    await cluster.runCommand(DECLARE);
+  await runWithCluster({ entries: 1, agents: 8, slots: 64 }, async (cluster) => {
+    await cluster.runCommand(DECLARATION);
     await sleep(500);
     await sendSteadily(cluster, { tasksPerSecond: 400, tasksPerJob: 20, run: 'warm', workMs: 10 });
     const entryCpu: Point[] = [];
@@ -190,7 +190,7 @@
     const entryBytes: Point[] = [];
     for (const tasksPerSecond of [200, 600, 1_200, 2_400]) {
       const run = `rate-${tasksPerSecond}`;
-      const rates = await measure(cluster, ['entry-1', 'agent-1'], () => {
+      const rates = await measureRates(cluster, ['entry-1', 'agent-1'], () => {
         return sendSteadily(cluster, { tasksPerSecond, tasksPerJob: 20, run, workMs: 10 });
       });
       const entry = rates.get('entry-1') as Rates;
@@ -202,14 +202,14 @@
       sent.push({ x: perSecond, y: entry.sentPerSecond });
       entryBytes.push({ x: perSecond, y: entry.bytesPerSecond });
     }
-    report('entry, processor time by task starts', 'ms per start', entryCpu);
-    report('agent, processor time by task starts', 'ms per start', agentCpu);
-    report('entry, messages sent by task starts', 'messages per start', sent);
-    report('entry, bytes sent by task starts', 'B per start', entryBytes);
+    printFit('entry, CPU time by task starts', 'ms per start', entryCpu);
+    printFit('agent, CPU time by task starts', 'ms per start', agentCpu);
+    printFit('entry, messages sent by task starts', 'messages per start', sent);
+    printFit('entry, bytes sent by task starts', 'B per start', entryBytes);
     const perJob: Point[] = [];
     for (const tasksPerJob of [1, 5, 20, 100]) {
       const run = `width-${tasksPerJob}`;
-      const rates = await measure(cluster, ['entry-1'], () => {
+      const rates = await measureRates(cluster, ['entry-1'], () => {
         return sendSteadily(cluster, { tasksPerSecond: 400, tasksPerJob, run, workMs: 10 });
       });
       const entry = rates.get('entry-1') as Rates;
@@ -217,14 +217,14 @@
       console.log(JSON.stringify({ width: { tasksPerJob, perSecond, entry } }));
       perJob.push({ x: 1 / tasksPerJob, y: entry.cpuMs / perSecond });
     }
-    report('entry, processor time by jobs', 'ms per job (intercept: ms per task)', perJob);
+    printFit('entry, CPU time by jobs', 'ms per job (intercept: ms per task)', perJob);
   });
 }
 
-/** Memory of a registrar by claims, of an entry and an agent by remembered tasks. */
+/** Measures the heap of an entry, and of an agent with its registrar, by the number of retained jobs. */
 async function measureState(): Promise<void> {
-  await withCluster({ entries: 1, agents: 4, slots: 64 }, async (cluster) => {
-    await cluster.runCommand(DECLARE);
+  await runWithCluster({ entries: 1, agents: 4, slots: 64 }, async (cluster) => {
+    await cluster.runCommand(DECLARATION);
     await sleep(500);
     const entry: Point[] = [];
     const agent: Point[] = [];
@@ -253,22 +253,22 @@
       entry.push({ x: Number(entryStats['jobs']), y: Number(entryStats['heapBytes']) / 1_024 });
       agent.push({ x: Number(agentStats['jobs']), y: Number(agentStats['heapBytes']) / 1_024 });
     }
-    report('entry, heap by remembered jobs of 5 tasks', 'KiB per job', entry);
-    report('agent and registrar, heap by remembered jobs', 'KiB per job', agent);
+    printFit('entry, heap by retained jobs of 5 tasks', 'KiB per job', entry);
+    printFit('agent and registrar, heap by retained jobs', 'KiB per job', agent);
   });
 }
 
-/** Time until a change of configuration is in force at every process, by their number. */
+/** Measures the time until a configuration change is in force everywhere, by the number of processes. */
 async function measureConfiguration(): Promise<void> {
   const points: Point[] = [];
   for (const agents of [4, 22, 44]) {
-    await withCluster({ entries: 2, agents }, async (cluster) => {
+    await runWithCluster({ entries: 2, agents }, async (cluster) => {
       const times: number[] = [];
       for (let round = 0; round < 5; round += 1) {
         const begin = Date.now();
         const { body } = await cluster.runCommand(`declare event c${round} services s kinds k(service = s)`);
         const version = Number(body['version']);
-        const ids = [...cluster.ids('entry'), ...cluster.ids('agent')];
+        const ids = [...cluster.listIds('entry'), ...cluster.listIds('agent')];
         await cluster.waitFor(async () => {
           const stats = await Promise.all(ids.map((id) => cluster.readStats(id)));
           return stats.every(({ configOffset }) => configOffset >= version);
@@ -280,38 +280,40 @@
       points.push({ x: agents + 2, y: times[2] as number });
     });
   }
-  report('change of configuration until in force everywhere', 'ms per process', points);
+  printFit('time until a configuration change is in force everywhere', 'ms per process', points);
 }
 
-/** Time to full service after one process of each role is killed and replaced. */
+/** Measures the time from the kill of a process until all jobs are completed without delay. */
 async function measureChurn(): Promise<void> {
-  await withCluster({ entries: 3, agents: 8 }, async (cluster) => {
-    await cluster.runCommand(DECLARE);
+  await runWithCluster({ entries: 3, agents: 8 }, async (cluster) => {
+    await cluster.runCommand(DECLARATION);
     await sleep(500);
     const random = createRandom(1);
     for (const victim of ['agent-2', 'entry-3', 'agent-5']) {
       const begin = Date.now();
       cluster.signal(victim, 'SIGKILL');
       let number = 0;
-      let lastBad = begin;
-      const ends = begin + 12_000;
+      let lastFailureAt = begin;
+      const until = begin + 12_000;
       const pending: Promise<void>[] = [];
       const entries = cluster.entryUrls.filter((url) => url !== cluster.url(victim));
-      while (Date.now() < ends) {
+      while (Date.now() < until) {
         const sentAt = Date.now();
         const job = buildCallerJob(`churn-${victim}-${number}`, 'capacity', 'k', [10, 10, 10], 10_000);
         const first = Math.floor(random() * entries.length);
         pending.push(
           submitUntilAnswered(job, entries, { first, tries: 1, patienceMs: 10_000 }).then(({ outcome }) => {
             const slow = Date.now() - sentAt > 300;
-            if (outcome !== 'complete' || slow) lastBad = Math.max(lastBad, sentAt);
+            if (outcome !== 'complete' || slow) lastFailureAt = Math.max(lastFailureAt, sentAt);
           }),
         );
         number += 1;
         await sleep(10);
       }
       await Promise.all(pending);
-      console.log(JSON.stringify({ churn: { victim, jobs: number, fullServiceAfterMs: lastBad - begin } }));
+      console.log(
+        JSON.stringify({ churn: { victim, jobs: number, fullServiceAfterMs: lastFailureAt - begin } }),
+      );
       cluster.restart(victim);
       await cluster.waitUntilReady();
       await sleep(2_000);
--- a/bench/checkDocs.ts
+++ b/bench/checkDocs.ts
@@ -1,4 +1,4 @@
-/** Checks that links in the pages lead somewhere, and that metrics, settings and commands they name exist. */
+/** Checks that link targets, metrics, settings, npm scripts and commands in the documentation exist. */
 import { readFile, readdir, stat } from 'node:fs/promises';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -46,14 +46,14 @@
   checkSettingNames(page, text);
 }
 
-/** Names in code marks that end in a unit are settings or fields, which must stand in the sources. */
+/** Checks that names of settings and fields, recognised by their suffix, occur in the sources. */
 function checkSettingNames(page: string, text: string): void {
   for (const [, name] of text.matchAll(/`([a-z][A-Za-z]+(?:Ms|Bytes|Callers|Jobs|Claims|Agents))`/g)) {
     if (name && !sources.includes(name)) findings.push(`${page}: ${name} is not in the sources`);
   }
 }
 
-/** Every metric of the page is sent, and every one that is sent is on the page. */
+/** Checks that the documented metrics are the reported ones. */
 async function checkMetrics(): Promise<void> {
   const page = await readFile(path.join(ROOT, 'docs/METRICS.md'), 'utf8');
   const listed = new Set([...page.matchAll(/^\| `([a-z_]+)`/gm)].map(([, name]) => name as string));
@@ -63,7 +63,7 @@
   for (const [, name] of sources.matchAll(/^ {4}((?:dispatcher|executor)_[a-z_]+): \{/gm)) {
     if (name) sent.add(name);
   }
-  for (const name of listed) if (!sent.has(name)) findings.push(`docs/METRICS.md: ${name} is never sent`);
+  for (const name of listed) if (!sent.has(name)) findings.push(`docs/METRICS.md: ${name} is never reported`);
   for (const name of sent) if (!listed.has(name)) findings.push(`docs/METRICS.md: ${name} is missing`);
 }
 
@@ -79,7 +79,7 @@
       );
   }
   for (const role of ROLES)
-    if (describeSettings(role).length === 0) findings.push(`${role}: settings are not described`);
+    if (describeSettings(role).length === 0) findings.push(`${role}: has no description of its settings`);
 }
 
 async function readSources(directory: string): Promise<string> {
--- a/bench/defect.ts
+++ b/bench/defect.ts
@@ -1,4 +1,4 @@
-/** One planted defect: a text of the built code and what stands there instead. */
+/** Defect planted in the compiled code: `find` is replaced by `replace` in `file`. */
 export interface Defect {
   readonly name: string;
   readonly file: string;
--- a/bench/defects.ts
+++ b/bench/defects.ts
@@ -1,6 +1,6 @@
 /**
- * Plants one defect at a time in a copy of the build and lets the randomised runs look for it:
- * `npm run defects`. A defect that is not found is a hole in the runs, and the command fails.
+ * Mutation test of the randomised runs: plants one defect at a time in a copy of the build and expects a
+ * failure. `npm run defects [-- NAME]` exits with 1 when a defect is not detected.
  */
 import { spawn } from 'node:child_process';
 import { cp, readFile, rm, symlink, writeFile } from 'node:fs/promises';
@@ -12,20 +12,20 @@
 
 const DIST = fileURLToPath(new URL('..', import.meta.url));
 const COPIES = path.join(DIST, '..', 'dist-defect');
-/** Longest search for one defect, minutes. */
+/** Longest run per defect, minutes. */
 const MINUTES = 2;
-/** Searches at once. */
+/** Number of defects tested in parallel. */
 const CONCURRENT = 4;
 
 const DEFECTS: readonly Defect[] = [
   {
-    name: 'no fence: an agent takes starts of an earlier epoch',
+    name: 'no fence: an agent accepts starts of an earlier epoch',
     file: 'src/process/agent/handleStart.js',
     find: 'if (order < 0)',
     replace: 'if (order < -Infinity)',
   },
   {
-    name: 'no tombstone: a refused attempt may start after all',
+    name: 'no tombstone: a refused attempt can still start',
     file: 'src/process/agent/handleStart.js',
     find: 'return start.attempt > known.attempt',
     replace: 'return true || start.attempt > known.attempt',
@@ -37,13 +37,13 @@
     replace: "if (known.state === 'finished') { known.state = 'refused'; return true; }",
   },
   {
-    name: 'takeover without asking everyone',
+    name: 'takeover without a query to every member',
     file: 'src/process/entry/sweepJob.js',
     find: 'job.sweeping = new Set(members);',
     replace: 'job.sweeping = new Set(members.slice(0, 1));',
   },
   {
-    name: 'a member that cannot answer counts as one that started nothing',
+    name: 'a member that cannot answer is treated as having started nothing',
     file: 'src/process/entry/sweepJob.js',
     find: 'if (queued > 0 && job.lostMembers.length > 0)',
     replace: 'if (false)',
@@ -62,31 +62,31 @@
       'const job = [...state.active].find((one) => one.tasks[result.index]?.state === "sent") ?? state.jobs.get(result.job);',
   },
   {
-    name: 'a start after leaving',
+    name: 'a leaving agent accepts a start',
     file: 'src/process/agent/handleStart.js',
     find: 'if (state.leaving)',
     replace: 'if (false)',
   },
   {
-    name: 'a registrar grants a claimed key to the next who asks',
+    name: 'a registrar grants a claimed key to the next claimant',
     file: 'src/process/registrar/handleClaim.js',
     find: 'const record = state.claims.get(claim.job);',
     replace: "const record = claim.mode === 'claim' ? undefined : state.claims.get(claim.job);",
   },
   {
-    name: 'a new registrar grants before the entries have announced',
+    name: 'a new registrar grants before the entries have announced their claims',
     file: 'src/process/registrar/handleClaim.js',
     find: 'if (!isTenureComplete(state, tenure))',
     replace: 'if (false)',
   },
   {
-    name: 'the last part of an announcement counts as the whole',
+    name: 'the last part of an announcement is treated as the whole',
     file: 'src/process/registrar/handleAnnounce.js',
     find: 'return current.recorded.size === parts;',
     replace: 'return part === parts - 1;',
   },
   {
-    name: 'a new registrar forgets the claims of entries that are gone',
+    name: 'a new registrar ignores claims of entries that are gone',
     file: 'src/process/registrar/handleClaim.js',
     find: 'if (claim.createdAt < findHistoryStart(state, tenure))',
     replace: 'if (false)',
@@ -143,7 +143,7 @@
   return { caught: true, cases: batches * 200 + Number(cases[1]), by: broken?.[0] ?? '' };
 }
 
-/** Names the runs that look for a defect. */
+/** Selects the kind of randomised run for a defect. */
 function findCore(defect: Defect): string {
   if (LIFE_DEFECTS.includes(defect)) return 'restarts';
   return DISPATCH_DEFECTS.includes(defect) ? 'dispatch' : 'registrar';
--- a/bench/generateValidators.ts
+++ b/bench/generateValidators.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the code that checks what comes from outside, from the schemas that stand beside it. It is committed, so that
- * no schema is compiled when a process starts: `npm run generate:validators`.
+ * Generates the validators of messages and settings from their schemas: `npm run generate:validators`. The
+ * generated code is committed, so that no schema is compiled when a process starts.
  */
 import { writeFile } from 'node:fs/promises';
 
--- a/bench/kills.ts
+++ b/bench/kills.ts
@@ -1,4 +1,4 @@
-/** Starts counted over many tasks while processes are killed and callers submit again: `npm run bench -- kills`. */
+/** Counts duplicate starts while processes are killed and callers resubmit: `npm run bench -- kills`. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { createRandom } from '../src/_lib/createRandom.js';
@@ -7,11 +7,10 @@
 import { buildCallerJob, submitUntilAnswered } from './resubmittingCaller.js';
 import type { CallerAnswer } from './resubmittingCaller.js';
 
-/** Options of the run. */
 export interface KillOptions {
   readonly tasks: number;
   readonly seed: number;
-  /** Between two kills, ms. */
+  /** Interval between kills, ms. */
   readonly killEveryMs: number;
   readonly victims: 'entries' | 'agents' | 'both';
 }
@@ -21,10 +20,10 @@
 const SLOTS = 32;
 const TASKS_PER_JOB = 20;
 const RESTART_MS = 1_500;
-/** Jobs in the air at once. */
-const CONCURRENT = 60;
+/** Number of jobs in flight. */
+const CONCURRENT_JOBS = 60;
 
-/** Runs jobs under kills and prints what was started, answered and saved. */
+/** Runs jobs under kills and prints the counts of starts, duplicate starts, outcomes and resubmissions. */
 export async function benchKills(options: KillOptions): Promise<void> {
   const random = createRandom(options.seed);
   const cluster = new ProcessCluster({
@@ -50,14 +49,14 @@
       while (!done) {
         await sleep(options.killEveryMs);
         if (done) return;
-        const victim = pickVictim(cluster, options.victims, random);
+        const victim = selectVictim(cluster, options.victims, random);
         cluster.signal(victim, 'SIGKILL');
         kills += 1;
         await sleep(RESTART_MS);
         cluster.restart(victim);
       }
     })();
-    const callers = Array.from({ length: CONCURRENT }, async () => {
+    const callers = Array.from({ length: CONCURRENT_JOBS }, async () => {
       while (next < jobs) {
         const number = next;
         next += 1;
@@ -72,7 +71,7 @@
     done = true;
     await killer;
     const starts = await cluster.readStarts();
-    const doubled = [...starts.values()].filter((count) => count > 1).length;
+    const startedTwice = [...starts.values()].filter((count) => count > 1).length;
     const resubmitted = answers.filter(({ submissions }) => submissions > 1);
     console.log(
       JSON.stringify({
@@ -80,7 +79,7 @@
         kills,
         jobs,
         tasksStarted: starts.size,
-        startedTwice: doubled,
+        startedTwice: startedTwice,
         outcomes: countBy(answers.map(({ outcome }) => outcome)),
         reasons: countBy(answers.filter(({ outcome }) => outcome !== 'complete').map(({ reason }) => reason)),
         resubmittedJobs: resubmitted.length,
@@ -92,10 +91,14 @@
   }
 }
 
-function pickVictim(cluster: ProcessCluster, victims: KillOptions['victims'], random: () => number): string {
+function selectVictim(
+  cluster: ProcessCluster,
+  victims: KillOptions['victims'],
+  random: () => number,
+): string {
   const ids = [
-    ...(victims === 'agents' ? [] : cluster.ids('entry')),
-    ...(victims === 'entries' ? [] : cluster.ids('agent')),
+    ...(victims === 'agents' ? [] : cluster.listIds('entry')),
+    ...(victims === 'entries' ? [] : cluster.listIds('agent')),
   ];
   return ids[Math.floor(random() * ids.length)] as string;
 }
--- a/bench/low.ts
+++ b/bench/low.ts
@@ -1,4 +1,4 @@
-/** Added response at low load: the same task through an entry and straight to an upstream, in turn. */
+/** Compares response times through an entry and directly from an upstream: `npm run bench -- low`. */
 import { performance } from 'node:perf_hooks';
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -8,14 +8,14 @@
 import { ProcessCluster } from './ProcessCluster.js';
 import { buildCallerJob, submitUntilAnswered } from './resubmittingCaller.js';
 
-/** Work of each task, ms. */
+/** Duration of each task, ms. */
 const WORK_MS = 50;
-/** Jobs of 10 tasks before the measurement. */
+/** Number of jobs of 10 tasks before the measurement. */
 const WARM_UP_JOBS = 1_500;
-/** Wait between two pairs, ms. */
+/** Pause between pairs, ms. */
 const GAP_MS = 5;
 
-/** Sends pairs of a job and a direct call and prints the differences. */
+/** Sends pairs of a job and a direct call, and prints their distributions and differences. */
 export async function benchLow(pairs: number): Promise<void> {
   const cluster = new ProcessCluster({ entries: 2, agents: 11 });
   try {
@@ -35,10 +35,10 @@
         event: 'low',
         tasks: [{ kind: 'k', body: task }],
       };
-      const throughMs = await time(entry, '/v1/jobs', job);
-      const directMs = await time(upstream, '/tasks/k', task);
+      const throughMs = await measureRequest(entry, '/v1/jobs', job);
+      const directMs = await measureRequest(upstream, '/tasks/k', task);
       await sleep(GAP_MS);
-      // The first pairs warm the processes up.
+      // The first pairs only warm up the processes.
       if (number < 0) continue;
       through.push(throughMs);
       direct.push(directMs);
@@ -60,7 +60,7 @@
   }
 }
 
-/** Serves some thousand tasks first: processes that serve an event have compiled their code. */
+/** Runs tasks first, so that the code of the processes is compiled before the measurement. */
 async function warmUp(cluster: ProcessCluster): Promise<void> {
   const jobs = Array.from({ length: WARM_UP_JOBS }, (_, number) => {
     return buildCallerJob(
@@ -79,7 +79,7 @@
   await sleep(1_000);
 }
 
-async function time(pool: Pool, path: string, body: unknown): Promise<number> {
+async function measureRequest(pool: Pool, path: string, body: unknown): Promise<number> {
   const begin = performance.now();
   const response = await pool.request({ method: 'POST', path, body: JSON.stringify(body) });
   await response.body.text();
--- a/bench/measureRun.ts
+++ b/bench/measureRun.ts
@@ -1,4 +1,4 @@
-/** One run of a plan against separate processes, with counters read before and after. */
+/** Runs a load plan against separate processes and reads their counters before and after. */
 import { buildReport } from '../src/load/buildReport.js';
 import type { LoadReport, ProcessCounts } from '../src/load/buildReport.js';
 import { createPlan } from '../src/load/createPlan.js';
@@ -9,13 +9,13 @@
 import { rankByWork, scheduleIdeal } from '../src/load/scheduleIdeal.js';
 import { ProcessCluster } from './ProcessCluster.js';
 
-/** Wait from the declaration to the start, ms. */
+/** Time from the declaration of the event to its start, ms. */
 const LEAD_MS = 1_500;
 
-/** Work of the warm-up, in seconds of all slots. */
+/** Total work of the warm-up, in seconds of all slots. */
 const WARM_UP_SECONDS = 3;
 
-/** Plan, policy and sizes of a run. */
+/** Load plan, policy and cluster sizes of a run. */
 export interface RunSizes extends Omit<PlanOptions, 'slots'> {
   readonly policy: string;
   readonly entries: number;
@@ -23,7 +23,7 @@
   readonly slotsPerAgent: number;
 }
 
-/** Starts a cluster of the policy, runs the plan and reports. */
+/** Starts a cluster with the settings of the policy, runs a warm-up and the plan, and builds the report. */
 export async function measureRun(sizes: RunSizes): Promise<LoadReport> {
   const settings = POLICIES[sizes.policy] ?? { entry: {}, agent: {} };
   const { entries, agents, slotsPerAgent } = sizes;
@@ -31,7 +31,7 @@
   const cluster = new ProcessCluster({ entries, agents, slots: slotsPerAgent, ...daemons });
   try {
     await cluster.start();
-    // Processes that serve an event have run for a while: the first requests must not compile them.
+    // The code is compiled during the warm-up rather than by the first measured requests.
     const warmUp = {
       ...sizes,
       shape: 'steady',
@@ -46,7 +46,7 @@
   }
 }
 
-/** Runs a plan against a cluster that is up. */
+/** Runs a plan against a running cluster. */
 export async function runOnCluster(
   cluster: ProcessCluster,
   sizes: RunSizes,
@@ -61,7 +61,7 @@
   if (declared.status !== 200) throw new Error(JSON.stringify(declared));
   const before = await readCounts(cluster);
   const outcomes = await runPlan(jobs, { entries: cluster.entryUrls, event: runId, startAt, runId });
-  const counts = subtract(await readCounts(cluster), before);
+  const counts = subtractCounts(await readCounts(cluster), before);
   const ideal = scheduleIdeal(jobs, slots);
   const leastWork = scheduleIdeal(jobs, slots, rankByWork);
   const starts = new Map([...(await cluster.readStarts())].filter(([task]) => task.startsWith(`${runId}-`)));
@@ -70,7 +70,7 @@
 }
 
 async function readIntervals(cluster: ProcessCluster): Promise<[number, number][]> {
-  const lists = cluster.ids('upstream').map((id) => cluster.read<[number, number][]>(id, '/intervals'));
+  const lists = cluster.listIds('upstream').map((id) => cluster.read<[number, number][]>(id, '/intervals'));
   return (await Promise.all(lists)).flat();
 }
 
@@ -79,7 +79,7 @@
   const cpu = { entry: 0, agent: 0 };
   let maxRssBytes = 0;
   for (const role of ['entry', 'agent'] as const) {
-    for (const id of cluster.ids(role)) {
+    for (const id of cluster.listIds(role)) {
       const stats = await cluster.readStats(id);
       cpu[role] += stats.cpuMs;
       maxRssBytes = Math.max(maxRssBytes, stats.rssBytes);
@@ -90,7 +90,7 @@
   return { messages, entryCpuMs: cpu.entry, agentCpuMs: cpu.agent, maxRssBytes };
 }
 
-function subtract(after: ProcessCounts, before: ProcessCounts): ProcessCounts {
+function subtractCounts(after: ProcessCounts, before: ProcessCounts): ProcessCounts {
   const messages = Object.fromEntries(
     Object.entries(after.messages).map(([type, count]) => [type, count - (before.messages[type] ?? 0)]),
   );
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -1,13 +1,13 @@
-/** Three times the capacity for some seconds: work done in deadline, refusals and their times. */
+/** Runs a load of three times the capacity and reports goodput and refusals: `npm run bench -- overload`. */
 import { PROFILES } from '../src/load/profile.js';
 import type { ProfileName } from '../src/load/profile.js';
 import { summarize } from './burst.js';
 import { measureRun } from './measureRun.js';
 
-/** Arriving work over what the slots can do. */
+/** Offered load as a multiple of the capacity. */
 const OVERLOAD = 3;
 
-/** Runs the overload for each profile and policy. */
+/** Runs the overload for each profile and policy, and prints a line of JSON for each. */
 export async function benchOverload(options: {
   readonly seconds: number;
   readonly profiles: readonly ProfileName[];
--- a/bench/planned.ts
+++ b/bench/planned.ts
@@ -1,4 +1,4 @@
-/** 1,000 concurrent jobs while an agent and an entry stop as planned: `npm run bench -- planned`. */
+/** Runs 1,000 concurrent jobs during a planned stop of an agent and an entry: `npm run bench -- planned`. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { createRandom } from '../src/_lib/createRandom.js';
@@ -7,10 +7,10 @@
 import { buildCallerJob, submitUntilAnswered } from './resubmittingCaller.js';
 
 const JOBS = 1_000;
-const MOST_TASKS = 50;
-const MOST_WORK_MS = 120;
+const MAX_TASKS = 50;
+const MAX_WORK_MS = 120;
 
-/** Sends the jobs, stops one process of each role in the middle, and prints what was answered and started. */
+/** Sends the jobs, stops a process of each role with SIGTERM, and prints outcomes, starts and exit codes. */
 export async function benchPlanned(seed: number): Promise<void> {
   const random = createRandom(seed);
   const cluster = new ProcessCluster({ entries: 2, agents: 11 });
@@ -22,9 +22,9 @@
     await sleep(1_000);
     let tasks = 0;
     const answers = Array.from({ length: JOBS }, (_, number) => {
-      const count = 1 + Math.floor(random() * MOST_TASKS);
+      const count = 1 + Math.floor(random() * MAX_TASKS);
       tasks += count;
-      const work = Array.from({ length: count }, () => 10 + Math.floor(random() * MOST_WORK_MS));
+      const work = Array.from({ length: count }, () => 10 + Math.floor(random() * MAX_WORK_MS));
       const job = buildCallerJob(`planned-${number}`, 'planned', 'k', work, 300_000);
       return submitUntilAnswered(job, cluster.entryUrls, { first: number, tries: 1, patienceMs: 300_000 });
     });
--- a/bench/resubmittingCaller.ts
+++ b/bench/resubmittingCaller.ts
@@ -1,9 +1,9 @@
-/** A caller that submits its job again, through another entry, until it has an answer. */
+/** Caller that resubmits its job through the next entry until it has a final answer. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { Agent, request } from 'undici';
 
-/** A job as a caller sends it. */
+/** Job as sent by a caller. */
 export interface CallerJob {
   readonly job: string;
   readonly createdAt: number;
@@ -15,15 +15,15 @@
   }[];
 }
 
-/** What the caller got in the end. */
+/** Last answer to a job, with the number of submissions. */
 export interface CallerAnswer {
   readonly outcome: 'complete' | 'failed' | 'refused' | 'none' | 'broken';
   readonly reason: string;
   readonly submissions: number;
 }
 
-/** Reasons for which the next submission may fare better. */
-const PASSING: ReadonlySet<string> = new Set([
+/** Reasons of failure that are temporary. */
+const RETRYABLE_REASONS: ReadonlySet<string> = new Set([
   'claim-timeout',
   'leaving',
   'not-ready',
@@ -33,7 +33,7 @@
 
 const agent = new Agent({ connections: null, headersTimeout: 0, bodyTimeout: 0 });
 
-/** Builds a job whose echoes tell its tasks apart. */
+/** Builds a job with a distinct echo for each task, so that mixed-up answers are detected. */
 export function buildCallerJob(
   job: string,
   event: string,
@@ -45,7 +45,11 @@
   return { job, createdAt: Date.now(), event, deadlineMs, tasks };
 }
 
-/** Submits until there is an answer that a second submission cannot better. */
+/**
+ * Submits a job until the answer is final or the tries are used up.
+ *
+ * @param options - index of the first entry, largest number of submissions, and timeout of each, ms
+ */
 export async function submitUntilAnswered(
   job: CallerJob,
   entries: readonly string[],
@@ -56,7 +60,7 @@
     const url = entries[(options.first + attempt) % entries.length] as string;
     last = { ...(await submitOnce(job, url, options.patienceMs)), submissions: attempt + 1 };
     if (last.outcome === 'complete' || last.outcome === 'broken') return last;
-    if (last.outcome === 'failed' && !PASSING.has(last.reason)) return last;
+    if (last.outcome === 'failed' && !RETRYABLE_REASONS.has(last.reason)) return last;
     await sleep(100);
   }
   return last;
@@ -78,9 +82,9 @@
     };
     if (answer.outcome !== 'complete')
       return { outcome: answer.outcome ?? 'broken', reason: answer.reason ?? '' };
-    const whole = answer.answers?.length === job.tasks.length;
-    const right = answer.answers?.every((one, index) => one.body.echo === job.tasks[index]?.body.echo);
-    return whole && right
+    const isComplete = answer.answers?.length === job.tasks.length;
+    const isMatching = answer.answers?.every((one, index) => one.body.echo === job.tasks[index]?.body.echo);
+    return isComplete && isMatching
       ? { outcome: 'complete', reason: '' }
       : { outcome: 'broken', reason: 'echoes differ' };
   } catch (error) {
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -1,4 +1,4 @@
-/** Long randomised runs: `npm run soak -- --seed N --minutes M`. Prints the seed and the shrunk commands of a failure. */
+/** Soak tests: `npm run soak -- --seed N --minutes M`. Prints the seed and shrunk commands of a failure. */
 import { cac } from 'cac';
 import * as fc from 'fast-check';
 
@@ -15,14 +15,14 @@
 import { runProcessSoak } from './runProcessSoak.js';
 import { RUN_AGENTS, RUN_ENTRIES, worldCommands } from '../test/fakes/worldCommands.js';
 
-/** Runs between two lines of progress. */
-const BATCH = 200;
+/** Number of runs per batch, each of which prints a line of progress. */
+const BATCH_RUNS = 200;
 
-/** Longest time of a batch, ms: bounds the shrinking of a failure, which is reported as far as it got. */
+/** Time limit of a batch, ms; it also limits the shrinking of a failure. */
 const BATCH_MS = 120_000;
 
-/** Link faults that the batches go through in turn. */
-const FAULTS = [
+/** Probabilities of link faults, used by the batches in turn. */
+const LINK_FAULTS = [
   { drop: 0, repeat: 0, late: 0 },
   { drop: 0.02, repeat: 0.02, late: 0.05 },
   { drop: 0.1, repeat: 0.05, late: 0.2 },
@@ -30,22 +30,22 @@
 
 const totals = { runs: 0, commands: 0, tasks: 0, answers: 0, complete: 0, refused: 0, failed: 0 };
 
-/** Why jobs failed. */
+/** Number of failed jobs by reason. */
 const reasons = new Map<string, number>();
 
 function runBatch(seed: number): void {
-  const faults = FAULTS[seed % FAULTS.length] as (typeof FAULTS)[number];
+  const faults = LINK_FAULTS[seed % LINK_FAULTS.length] as (typeof LINK_FAULTS)[number];
   const property = fc.property(worldCommands, fc.integer(), (commands, worldSeed) => {
     const world = new FakeWorld({ seed: worldSeed, entries: RUN_ENTRIES, agents: RUN_AGENTS, faults });
     const model = { commands: 0 };
     fc.modelRun(() => ({ model, real: world }), commands);
     world.settle();
-    countRun(world, model.commands);
+    addRunTotals(world, model.commands);
   });
-  fc.assert(property, { numRuns: BATCH, seed, interruptAfterTimeLimit: BATCH_MS });
+  fc.assert(property, { numRuns: BATCH_RUNS, seed, interruptAfterTimeLimit: BATCH_MS });
 }
 
-function countRun(world: FakeWorld, commands: number): void {
+function addRunTotals(world: FakeWorld, commands: number): void {
   totals.runs += 1;
   totals.commands += commands;
   totals.tasks += world.starts.size;
@@ -60,20 +60,28 @@
   }
 }
 
-async function runCore(core: string, seed: number): Promise<void> {
+async function runSoak(core: string, seed: number): Promise<void> {
   if (core === 'processes') return console.log(JSON.stringify(await runProcessSoak(seed)));
-  const drawn = DISPATCH_CORES[core];
-  if (drawn) {
+  const simulationCommands = DISPATCH_COMMANDS[core];
+  if (simulationCommands) {
     return console.log(
-      JSON.stringify(await runDispatchSimulation(drawn, seed, BATCH, true, drawn === restartCommands)),
+      JSON.stringify(
+        await runDispatchSimulation(
+          simulationCommands,
+          seed,
+          BATCH_RUNS,
+          true,
+          simulationCommands === restartCommands,
+        ),
+      ),
     );
   }
   runBatch(seed);
   console.log(JSON.stringify({ seed, ...totals, reasons: Object.fromEntries(reasons) }));
 }
 
-/** Randomised runs of dispatchers and agents: the first ones, then those with more kinds of trouble each. */
-const DISPATCH_CORES: Readonly<Record<string, typeof dispatchCommands>> = {
+/** Commands for the simulation of dispatchers and executors, by name of the core. */
+const DISPATCH_COMMANDS: Readonly<Record<string, typeof dispatchCommands>> = {
   dispatch: dispatchCommands,
   late: lateReportCommands,
   domains: domainCommands,
@@ -82,11 +90,11 @@
   rooms: capacityCommands,
 };
 
-const CORES =
-  'registrar (own interface), dispatch (platform), late (the same, with words of earlier lives), domains (with emptied failure domains), restarts (with upstreams that keep their ids) or processes (real ones, platform)';
+const CORE_HELP =
+  'registrar (entries and agents), dispatch (dispatchers and executors), late (with late reports of earlier incarnations), domains (with evacuated failure domains), restarts (with upstreams that keep their ids), suspensions (with suspended VMs and clock changes), rooms (with changing capacity) or processes (real processes of the platform)';
 
 const cli = cac('soak');
-cli.option('--core <name>', CORES, { default: 'registrar' });
+cli.option('--core <name>', CORE_HELP, { default: 'registrar' });
 cli.option('--seed <number>', 'first seed', { default: 1 });
 cli.option('--minutes <number>', 'how long to run', { default: 5 });
 cli.help();
@@ -95,7 +103,7 @@
 let seed = Number(options['seed']);
 while (Date.now() < until) {
   try {
-    await runCore(String(options['core']), seed);
+    await runSoak(String(options['core']), seed);
   } catch (error) {
     console.error(`seed ${seed}: ${String(error instanceof Error ? error.message : error)}`);
     if (error instanceof Error && error.cause instanceof Error) console.error(error.cause.stack);
--- a/bench/throughput.ts
+++ b/bench/throughput.ts
@@ -1,4 +1,4 @@
-/** Most task starts a second of one entry, with and without the log line of each decision. */
+/** Measures the highest rate of task starts of one entry, with and without decision logs. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 import { ProcessCluster } from './ProcessCluster.js';
@@ -6,10 +6,10 @@
 
 const SECONDS = 6;
 const TASKS_PER_JOB = 20;
-/** Jobs in the air: enough that the entry is what limits. */
-const CONCURRENT = 120;
+/** Number of jobs in flight; high enough that the entry is the bottleneck. */
+const CONCURRENT_JOBS = 120;
 
-/** Runs closed-loop callers against one entry and prints starts a second and processor shares. */
+/** Runs closed-loop callers against one entry, and prints starts per second and CPU use. */
 export async function benchThroughput(agents: number): Promise<void> {
   for (const decisionLog of [true, false, true, false]) {
     const cluster = new ProcessCluster({
@@ -58,7 +58,7 @@
   const until = begin + seconds * 1_000;
   let next = 0;
   await Promise.all(
-    Array.from({ length: CONCURRENT }, async () => {
+    Array.from({ length: CONCURRENT_JOBS }, async () => {
       while (Date.now() < until) {
         next += 1;
         const work = Array.from({ length: TASKS_PER_JOB }, () => 5);
--- a/standins/StandinServer.ts
+++ b/standins/StandinServer.ts
@@ -1,28 +1,30 @@
-/** Small HTTP server that both stand-ins are built on. */
+/** HTTP server that the stand-ins for external systems are built on. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
 import { readBody } from '../src/connection/http/readBody.js';
 
-/** Largest body that a stand-in reads, bytes. */
+/** Largest request body accepted, bytes. */
 const MAX_BODY_BYTES = 32 * 1024 * 1024;
 
-/** A request with its body read. */
+/** Request whose body has been read. */
 export interface StandinRequest {
   readonly method: string;
   readonly url: URL;
   readonly headers: IncomingMessage['headers'];
   readonly text: string;
-  /** The body as it came. */
+  /** Raw body. */
   readonly bytes: Buffer;
 }
 
-/** Base of the stand-ins. */
+/** Base class of the stand-ins. */
 export abstract class StandinServer {
-  private readonly server: Server = createServer((request, response) => void this.take(request, response));
+  private readonly server: Server = createServer(
+    (request, response) => void this.receiveRequest(request, response),
+  );
 
-  /** Starts to listen and returns the URL. */
+  /** Listens on the given port, 0 for any free one, and returns the base URL. */
   async start(host: string, port: number): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -31,7 +33,7 @@
     return `http://${host}:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Ends the server and its connections. */
+  /** Stops the server and closes all connections. */
   async stop(): Promise<void> {
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -42,7 +44,7 @@
   /** Handles one request. */
   protected abstract handle(request: StandinRequest, response: ServerResponse): Promise<void>;
 
-  private async take(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async receiveRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request, MAX_BODY_BYTES);
     if (!body.ok) return void response.destroy();
     const url = new URL(request.url ?? '/', 'http://local');
--- a/standins/platform/PlatformStandin.ts
+++ b/standins/platform/PlatformStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform: an append-only log with offsets and retention, and a lagging live list. */
+/** Stand-in for the platform: an append-only log with offsets and retention, and a delayed list of VMs. */
 import type { ServerResponse } from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -9,13 +9,13 @@
 import { StandinServer } from '../StandinServer.js';
 import type { StandinRequest } from '../StandinServer.js';
 
-/** Faults that tests switch by `PUT /faults`. */
+/** Faults that tests set with `PUT /faults`. */
 export interface PlatformFaults {
-  /** Every request fails. */
+  /** Whether the connection of every request is closed without an answer. */
   down: boolean;
-  /** Added to every answer, ms. */
+  /** Delay added to every answer, ms. */
   slowMs: number;
-  /** So many of the next appends take effect while their answer is lost. */
+  /** Number of following appends that take effect but are not answered. */
   loseAnswers: number;
 }
 
@@ -24,12 +24,11 @@
   readonly at: number;
 }
 
-/** The stand-in. */
 export class PlatformStandin extends StandinServer {
   readonly faults: PlatformFaults = { down: false, slowMs: 0, loseAnswers: 0 };
   private readonly records: LogEntry[] = [];
   private readonly live = new Map<string, LiveRecord[]>();
-  /** Wakes the reads that wait for a record. */
+  /** Callbacks that wake long polls waiting for a record. */
   private readonly readers = new Set<() => void>();
   private nextOffset = 0;
   private appends = 0;
@@ -40,7 +39,7 @@
 
   protected override async handle(request: StandinRequest, response: ServerResponse): Promise<void> {
     const { method, url } = request;
-    if (url.pathname === '/faults') return this.switchFaults(request, response);
+    if (url.pathname === '/faults') return this.handleFaults(request, response);
     if (url.pathname === '/healthz') return writeJson(response, 200, '{}');
     if (url.pathname === '/statsz') {
       return writeJson(
@@ -54,11 +53,11 @@
     if (url.pathname === '/log' && method === 'GET') return this.read(url, response);
     if (url.pathname === '/log' && method === 'POST') return this.append(request, response);
     if (url.pathname === '/live' && method === 'GET') return this.list(response);
-    if (url.pathname.startsWith('/live/') && method === 'PUT') return this.noteLive(request, response);
+    if (url.pathname.startsWith('/live/') && method === 'PUT') return this.recordLive(request, response);
     writeJson(response, 404, '{}');
   }
 
-  private switchFaults(request: StandinRequest, response: ServerResponse): void {
+  private handleFaults(request: StandinRequest, response: ServerResponse): void {
     if (request.method === 'PUT') Object.assign(this.faults, JSON.parse(request.text));
     this.wakeReaders();
     writeJson(response, 200, JSON.stringify(this.faults));
@@ -91,7 +90,7 @@
     writeJson(response, 200, JSON.stringify(gap ? this.records : found));
   }
 
-  /** Waits for an append, a switched fault or the end of the wait. */
+  /** Waits for an append, a change of the faults or the end of the long poll. */
   private async waitForChange(until: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const wake = (): void => {
@@ -108,14 +107,14 @@
     for (const wake of [...this.readers]) wake();
   }
 
-  private noteLive(request: StandinRequest, response: ServerResponse): void {
+  private recordLive(request: StandinRequest, response: ServerResponse): void {
     const vm = JSON.parse(request.text) as LiveVm;
     const known = this.live.get(vm.id) ?? [];
     this.live.set(vm.id, [...known.slice(-20), { vm, at: Date.now() }]);
     writeJson(response, 200, '{}');
   }
 
-  /** The list as it was `liveLagMs` ago; a VM that was not heard for `liveExpireMs` is not on it. */
+  /** Sends the live VMs as of `liveLagMs` ago: those with a heartbeat in the `liveExpireMs` before that. */
   private list(response: ServerResponse): void {
     const seenAt = Date.now() - this.settings.liveLagMs;
     const vms: LiveVm[] = [];
--- a/standins/protocol/RunnerStandin.ts
+++ b/standins/protocol/RunnerStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a runner: takes orders under leases and fencing tokens, and sends heartbeats. */
+/** Stand-in for an upstream (runner): accepts orders with leases and fencing tokens, sends heartbeats. */
 import { request as sendRequest } from 'node:http';
 import type { ServerResponse } from 'node:http';
 import { performance } from 'node:perf_hooks';
@@ -16,10 +16,10 @@
 import { StandinServer } from '../StandinServer.js';
 import type { StandinRequest } from '../StandinServer.js';
 
-const BEAT_MS = 300;
-const LOOK_MS = 5;
-/** Where the clock of the first life begins, ms; later ones begin at 0, so that theirs is behind it. */
-const FIRST_CLOCK_MS = 5_000_000;
+const HEARTBEAT_INTERVAL_MS = 300;
+const POLL_INTERVAL_MS = 5;
+/** Initial clock of the first incarnation, ms. Later ones begin at 0: the clock goes back at a restart. */
+const INITIAL_CLOCK_MS = 5_000_000;
 
 interface StandinRun {
   readonly task: string;
@@ -38,25 +38,25 @@
   readonly wait_ms?: number;
 }
 
-/** Who a runner is. */
+/** Identity and address of a runner. */
 export interface RunnerIdentity {
   readonly id: string;
   readonly service: string;
-  /** `host:port` of the agent on its VM. */
+  /** `host:port` of the executor on its VM. */
   readonly control: string;
   readonly cpu: number;
-  /** Gives the address to report for the one it listens at, both `host:port`; that itself by default. */
+  /** Maps the listening address to the one to report, both `host:port`. Default: the listening address. */
   readonly advertise?: (address: string) => Promise<string>;
 }
 
-/** What every runner of a test tells of starts and ends. */
+/** Receives the starts and ends of runs from all runners of a test. */
 export interface RunJournal {
-  readonly noteStart: (task: string, runner: string) => void;
-  readonly noteEnd: (task: string, runner: string, how: string) => void;
+  readonly recordStart: (task: string, runner: string) => void;
+  readonly recordEnd: (task: string, runner: string, how: string) => void;
 }
 
-/** What a life of a runner knows; the next one begins with nothing of it. */
-class RunnerLife {
+/** State of one incarnation of a runner, which is lost at a restart. */
+class RunnerIncarnation {
   readonly running = new Map<string, StandinRun>();
   readonly ended: [number, string, number, string, string][] = [];
   readonly highestRun = new Map<string, number>();
@@ -64,36 +64,37 @@
   token = 0;
   leaseUntil = 0;
   beats = 0;
-  /** Unix ms of its start. */
+  /** Start time, Unix ms. */
   readonly born = Date.now();
   private readonly startedAt = performance.now();
 
-  constructor(private readonly firstClockMs: number) {}
+  constructor(private readonly initialClockMs: number) {}
 
-  /** The steady clock of this life, ms. */
+  /** Monotonic clock of this incarnation, ms. */
   get clockMs(): number {
-    return Math.floor(performance.now() - this.startedAt) + this.firstClockMs;
+    return Math.floor(performance.now() - this.startedAt) + this.initialClockMs;
   }
 }
 
-/** A runner. A task's `spec` is the ms it works. */
+/** Runner whose tasks give their duration in ms as `spec`. */
 export class RunnerStandin extends StandinServer {
-  /** The next so many starts are carried out without an answer. */
-  muteStarts = 0;
-  /** The next so many starts get no answer and are carried out `lateMs` later, with a lease from then on. */
+  /** Number of following starts that are executed but not answered. */
+  unansweredStarts = 0;
+  /** Number of following starts that are not answered and are executed `lateMs` later. */
   lateStarts = 0;
+  /** Delay of late starts, ms. */
   lateMs = 0;
-  /** The next so many stops do nothing and get no answer. */
+  /** Number of following stops that are neither executed nor answered. */
   lostStops = 0;
-  /** Sends no heartbeats. */
-  mute = false;
-  /** What it says it has, thousandths of a core; undefined for what it has. */
-  toldCpu: number | undefined;
-  /** All that starts fails. */
+  /** Whether heartbeats are omitted. */
+  skipsHeartbeats = false;
+  /** Reported capacity, thousandths of a core; undefined for the actual one. */
+  reportedCpu: number | undefined;
+  /** Whether every run fails at its start. */
   fails = false;
-  private life = new RunnerLife(FIRST_CLOCK_MS);
-  private beatTimer: NodeJS.Timeout | undefined;
-  private lapseTimer: NodeJS.Timeout | undefined;
+  private incarnation = new RunnerIncarnation(INITIAL_CLOCK_MS);
+  private heartbeatTimer: NodeJS.Timeout | undefined;
+  private runTimer: NodeJS.Timeout | undefined;
   private address = '';
   private port = 0;
   state: 'ready' | 'draining' = 'ready';
@@ -110,48 +111,49 @@
     const address = url.slice('http://'.length);
     this.port = splitAddress(address).port;
     this.address = (await this.identity.advertise?.(address)) ?? address;
-    this.beginBeats();
+    this.startHeartbeats();
     return url;
   }
 
-  private beginBeats(): void {
-    this.beatTimer = setInterval(() => this.beat(), BEAT_MS);
-    this.lapseTimer = setInterval(() => this.work(), LOOK_MS);
-    this.beat();
+  private startHeartbeats(): void {
+    this.heartbeatTimer = setInterval(() => this.sendHeartbeat(), HEARTBEAT_INTERVAL_MS);
+    this.runTimer = setInterval(() => this.updateRuns(), POLL_INTERVAL_MS);
+    this.sendHeartbeat();
   }
 
   /**
-   * Ends without a word, with all that runs there, and starts again under the same id and address.
+   * Crashes with all its runs, and restarts under the same id and address.
    *
-   * @param downMs - time until then
+   * @param downMs - downtime before the restart, ms
    */
   async restart(downMs: number): Promise<void> {
     await this.stop();
-    for (const task of this.life.running.keys()) this.journal.noteEnd(task, this.identity.id, 'gone');
+    for (const task of this.incarnation.running.keys())
+      this.journal.recordEnd(task, this.identity.id, 'gone');
     await sleep(downMs);
-    this.life = new RunnerLife(0);
+    this.incarnation = new RunnerIncarnation(0);
     await super.start(splitAddress(this.identity.control).host, this.port);
-    this.beginBeats();
+    this.startHeartbeats();
   }
 
-  /** Reports that this life of the runner has sent. */
+  /** Number of heartbeats that this incarnation has sent. */
   get beats(): number {
-    return this.life.beats;
+    return this.incarnation.beats;
   }
 
   override async stop(): Promise<void> {
-    clearInterval(this.beatTimer);
-    clearInterval(this.lapseTimer);
+    clearInterval(this.heartbeatTimer);
+    clearInterval(this.runTimer);
     await super.stop();
   }
 
   protected override async handle(request: StandinRequest, response: ServerResponse): Promise<void> {
     const expected = request.headers[EXPECT_INSTANCE_HEADER.toLowerCase()];
     if (expected !== undefined && expected !== this.identity.id) return writeJson(response, 421, '{}');
-    this.work();
+    this.updateRuns();
     const order = JSON.parse(request.text) as OrderBody;
-    if ((order.fencing_token ?? 0) < this.life.token) return this.conflict(response, 'fence');
-    this.life.token = order.fencing_token ?? 0;
+    if ((order.fencing_token ?? 0) < this.incarnation.token) return this.sendConflict(response, 'fence');
+    this.incarnation.token = order.fencing_token ?? 0;
     const path = request.url.pathname;
     if (path === RUN_START_PATH && this.lateStarts > 0) return this.delayStart(order, response);
     if (path === RUN_START_PATH) return this.handleStart(order, response);
@@ -162,25 +164,25 @@
 
   private handleStart(order: OrderBody, response: ServerResponse): void {
     const { task = '', run = 0, spec = '', deadline_ms: deadlineMs = 0 } = order;
-    if (deadlineMs < this.life.clockMs) return this.conflict(response, 'late');
-    this.life.leaseUntil = Math.max(this.life.leaseUntil, deadlineMs);
-    if (this.life.running.get(task)?.run === run) return this.accept(response);
-    if (run <= (this.life.highestRun.get(task) ?? 0)) return this.conflict(response, 'old');
-    this.begin(task, run, spec);
-    if (this.muteStarts === 0) return this.accept(response);
-    this.muteStarts -= 1;
+    if (deadlineMs < this.incarnation.clockMs) return this.sendConflict(response, 'late');
+    this.incarnation.leaseUntil = Math.max(this.incarnation.leaseUntil, deadlineMs);
+    if (this.incarnation.running.get(task)?.run === run) return this.sendAccepted(response);
+    if (run <= (this.incarnation.highestRun.get(task) ?? 0)) return this.sendConflict(response, 'old');
+    this.startRun(task, run, spec);
+    if (this.unansweredStarts === 0) return this.sendAccepted(response);
+    this.unansweredStarts -= 1;
     response.destroy();
   }
 
-  /** The lease that the order carries counts from its arrival, and nobody is told that the run began. */
+  /** Executes a start after `lateMs` without answering it, and extends its lease by that delay. */
   private async delayStart(order: OrderBody, response: ServerResponse): Promise<void> {
     this.lateStarts -= 1;
     response.destroy();
     const { task = '', run = 0, spec = '', deadline_ms: deadlineMs = 0, fencing_token: token = 0 } = order;
     await sleep(this.lateMs);
-    if (token < this.life.token || run <= (this.life.highestRun.get(task) ?? 0)) return;
-    this.life.leaseUntil = Math.max(this.life.leaseUntil, deadlineMs + this.lateMs);
-    this.begin(task, run, spec);
+    if (token < this.incarnation.token || run <= (this.incarnation.highestRun.get(task) ?? 0)) return;
+    this.incarnation.leaseUntil = Math.max(this.incarnation.leaseUntil, deadlineMs + this.lateMs);
+    this.startRun(task, run, spec);
   }
 
   private handleStop({ task = '', run = 0 }: OrderBody, response: ServerResponse): void {
@@ -188,58 +190,59 @@
       this.lostStops -= 1;
       return void response.destroy();
     }
-    this.life.highestRun.set(task, Math.max(run, this.life.highestRun.get(task) ?? 0));
-    if (this.life.running.get(task)?.run === run) this.end(task, 'stopped');
-    this.accept(response);
+    this.incarnation.highestRun.set(task, Math.max(run, this.incarnation.highestRun.get(task) ?? 0));
+    if (this.incarnation.running.get(task)?.run === run) this.endRun(task, 'stopped');
+    this.sendAccepted(response);
   }
 
   private async handleHold(order: OrderBody, response: ServerResponse): Promise<void> {
-    this.life.leaseUntil = Math.max(this.life.leaseUntil, order.deadline_ms ?? 0);
-    while (this.life.ended[0] && this.life.ended[0][0] <= (order.last_seen ?? 0)) this.life.ended.shift();
+    this.incarnation.leaseUntil = Math.max(this.incarnation.leaseUntil, order.deadline_ms ?? 0);
+    while (this.incarnation.ended[0] && this.incarnation.ended[0][0] <= (order.last_seen ?? 0))
+      this.incarnation.ended.shift();
     const until = performance.now() + (order.wait_ms ?? 0);
-    while (this.life.ended.length === 0 && performance.now() < until) await sleep(LOOK_MS);
-    const running = [...this.life.running.values()].map(({ task, run, startedAt, workMs }) => {
+    while (this.incarnation.ended.length === 0 && performance.now() < until) await sleep(POLL_INTERVAL_MS);
+    const running = [...this.incarnation.running.values()].map(({ task, run, startedAt, workMs }) => {
       return [task, run, '', Math.min(99, Math.floor(((performance.now() - startedAt) / workMs) * 100)), 0];
     });
-    const { clockMs, born, ended } = this.life;
+    const { clockMs, born, ended } = this.incarnation;
     writeJson(response, 200, JSON.stringify({ clock_ms: clockMs, born, running, ended }));
   }
 
-  private begin(task: string, run: number, spec: string): void {
-    this.life.highestRun.set(task, run);
-    this.life.running.set(task, { task, run, startedAt: performance.now(), workMs: Number(spec) });
-    this.journal.noteStart(task, this.identity.id);
-    if (this.fails) this.end(task, 'failed');
+  private startRun(task: string, run: number, spec: string): void {
+    this.incarnation.highestRun.set(task, run);
+    this.incarnation.running.set(task, { task, run, startedAt: performance.now(), workMs: Number(spec) });
+    this.journal.recordStart(task, this.identity.id);
+    if (this.fails) this.endRun(task, 'failed');
   }
 
-  private work(): void {
+  private updateRuns(): void {
     const now = performance.now();
-    for (const { task, startedAt, workMs } of [...this.life.running.values()]) {
-      if (now - startedAt >= workMs) this.end(task, 'done');
-      else if (this.life.clockMs > this.life.leaseUntil) this.end(task, 'lapsed');
+    for (const { task, startedAt, workMs } of [...this.incarnation.running.values()]) {
+      if (now - startedAt >= workMs) this.endRun(task, 'done');
+      else if (this.incarnation.clockMs > this.incarnation.leaseUntil) this.endRun(task, 'lapsed');
     }
   }
 
-  private end(task: string, how: string): void {
-    const run = this.life.running.get(task);
+  private endRun(task: string, how: string): void {
+    const run = this.incarnation.running.get(task);
     if (!run) return;
-    this.life.running.delete(task);
-    this.life.sequence += 1;
-    this.life.ended.push([this.life.sequence, task, run.run, how, '']);
-    this.journal.noteEnd(task, this.identity.id, how);
+    this.incarnation.running.delete(task);
+    this.incarnation.sequence += 1;
+    this.incarnation.ended.push([this.incarnation.sequence, task, run.run, how, '']);
+    this.journal.recordEnd(task, this.identity.id, how);
   }
 
-  private accept(response: ServerResponse): void {
-    writeJson(response, 200, JSON.stringify({ clock_ms: this.life.clockMs }));
+  private sendAccepted(response: ServerResponse): void {
+    writeJson(response, 200, JSON.stringify({ clock_ms: this.incarnation.clockMs }));
   }
 
-  private conflict(response: ServerResponse, reason: string): void {
-    writeJson(response, 409, JSON.stringify({ clock_ms: this.life.clockMs, reason }));
+  private sendConflict(response: ServerResponse, reason: string): void {
+    writeJson(response, 409, JSON.stringify({ clock_ms: this.incarnation.clockMs, reason }));
   }
 
-  private beat(): void {
-    if (this.mute) return;
-    this.life.beats += 1;
+  private sendHeartbeat(): void {
+    if (this.skipsHeartbeats) return;
+    this.incarnation.beats += 1;
     const { id, service, control, cpu } = this.identity;
     const body = JSON.stringify({
       service,
@@ -249,11 +252,11 @@
       slots: 8,
       state: this.state,
       cold_remaining_ms: 0,
-      capacity: { cpu: this.toldCpu ?? cpu, mem_mb: 4_096, gpu: 0 },
+      capacity: { cpu: this.reportedCpu ?? cpu, mem_mb: 4_096, gpu: 0 },
       labels: ['a', 'r1'],
-      clock_ms: this.life.clockMs,
-      call_seq: this.life.beats,
-      born: this.life.born,
+      clock_ms: this.incarnation.clockMs,
+      call_seq: this.incarnation.beats,
+      born: this.incarnation.born,
     });
     const { host, port } = splitAddress(control);
     const headers = { 'content-type': 'application/json', 'content-length': String(Buffer.byteLength(body)) };
--- a/standins/protocol/StoreStandin.ts
+++ b/standins/protocol/StoreStandin.ts
@@ -1,4 +1,7 @@
-/** Stand-in for the platform's store: the operator's topic only, with newest records, long polls and faults. */
+/**
+ * Stand-in for the platform's store. It keeps the log of the operator's topic, with long polls, and the
+ * newest value of each key of the system's own topics.
+ */
 import type { ServerResponse } from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -15,51 +18,50 @@
 import { StandinServer } from '../StandinServer.js';
 import type { StandinRequest } from '../StandinServer.js';
 
-/** What goes wrong at the store. */
+/** Fault of the store: requests get a 503 (`busy`), no answer (`silent`) or a closed connection (`reset`). */
 export type StoreFault = 'none' | 'busy' | 'silent' | 'reset' | 'forgotten';
 
-/** Time between two parts of an answer that goes out slowly, ms. */
-const PART_MS = 50;
+/** Interval between the chunks of an answer of limited rate, ms. */
+const CHUNK_INTERVAL_MS = 50;
 
-/** The store. */
 export class StoreStandin extends StandinServer {
   fault: StoreFault = 'none';
-  /** Newest records that one answer holds. */
+  /** Largest number of the operator's keys in one answer. */
   pageItems = 500;
-  /** Answers that began with the first key. */
+  /** Number of answers that began with the first key. */
   wholeReads = 0;
-  /** Answers that held no key. */
+  /** Number of answers without a key. */
   endReads = 0;
-  /** Rate at which answers about the operator's records go out, bytes a ms. */
+  /** Rate at which the operator's newest records are sent, bytes/ms. */
   bytesPerMs = Infinity;
-  /** Whether reads are told nothing of what is written, as on a path that lost it. */
+  /** Whether reads return no records, as when the network loses them. */
   hidesRecords = false;
-  /** Put into each page of newest records before the others, as they are. */
+  /** Items added unchanged before the others to each page of newest records. */
   readonly strangeItems: unknown[] = [];
   private readonly records: Buffer[] = [];
-  /** Newest values of the system's own topics, by partition and key, in base64. */
-  private readonly keyed = new Map<string, Map<string, string>>();
+  /** Newest values of the system's own topics in base64, by partition and key. */
+  private readonly systemTopics = new Map<string, Map<string, string>>();
   private first = 0;
-  /** Newest value of each key of the operator's, and its offset. */
+  /** Newest value and its offset, by key of the operator's topic. */
   private readonly operatorKeys = new Map<string, { readonly value: string; readonly offset: number }>();
   private readonly readers = new Set<() => void>();
 
-  /** Writes a configuration, as the operator does. */
+  /** Writes a configuration as the operator. */
   putConfiguration(configuration: object): void {
     this.writeRecord(CONFIGURATION_KEY, JSON.stringify(configuration));
   }
 
-  /** Asks that a failure domain is emptied, as the operator does. */
+  /** Requests the evacuation of a failure domain as the operator. */
   putEvacuation(domain: string, body = '{}'): void {
     this.writeRecord(`${EVACUATION_PREFIX}${domain}`, body);
   }
 
-  /** Takes a failure domain back. */
+  /** Withdraws the evacuation of a failure domain. */
   dropEvacuation(domain: string): void {
     this.writeRecord(`${EVACUATION_PREFIX}${domain}`, '');
   }
 
-  /** Writes a record of the operator's topic; one without a value drops its key. */
+  /** Writes a record of the operator's topic; an empty value deletes the key. */
   writeRecord(key: string, value: string): void {
     if (value === '') this.operatorKeys.delete(key);
     else this.operatorKeys.set(key, { value, offset: this.records.length });
@@ -67,12 +69,12 @@
     for (const wake of [...this.readers]) wake();
   }
 
-  /** Writes a record whose value need not be text; readers of the newest records do not find it. */
+  /** Writes a record with a binary value, which is not among the newest records. */
   writeBytes(key: string, value: Buffer): void {
     this.writeRaw(Buffer.concat([Buffer.from([key.length]), Buffer.from(key), value]));
   }
 
-  /** Writes a record of any bytes, behind their length. */
+  /** Writes arbitrary bytes as a record, after their length. */
   writeRaw(bytes: Buffer): void {
     const length = Buffer.alloc(4);
     length.writeUInt32BE(bytes.length);
@@ -80,21 +82,21 @@
     for (const wake of [...this.readers]) wake();
   }
 
-  /** Keys in the system's own topics. */
+  /** Counts the keys of the system's own topics. */
   countKeys(): number {
     let count = 0;
-    for (const keys of this.keyed.values()) count += keys.size;
+    for (const keys of this.systemTopics.values()) count += keys.size;
     return count;
   }
 
-  /** Newest values in the system's own topics, as text. */
+  /** Newest values of the system's own topics, as text. */
   get keptValues(): string[] {
-    const values = [...this.keyed.values()].flatMap((keys) => [...keys.values()]);
+    const values = [...this.systemTopics.values()].flatMap((keys) => [...keys.values()]);
     return values.map((value) => Buffer.from(value, 'base64').toString());
   }
 
-  /** Drops all records; the newest of each key stays. */
-  forget(): void {
+  /** Drops all records from the log; the newest value of each key stays. */
+  compact(): void {
     this.first = this.records.length;
   }
 
@@ -106,31 +108,35 @@
     const topic = searchParams.get('topic') ?? '';
     const partition = `${topic}/${searchParams.get('part')}`;
     if (pathname === LOG_APPEND_PATH) return this.append(partition, request.bytes, response);
-    if (pathname === LOG_NEWEST_PATH && topic !== OPERATOR_TOPIC) return this.answerKeys(partition, response);
-    if (pathname === LOG_NEWEST_PATH) return this.answerNewest(response, searchParams.get('after'));
+    if (pathname === LOG_NEWEST_PATH && topic !== OPERATOR_TOPIC) return this.sendKeys(partition, response);
+    if (pathname === LOG_NEWEST_PATH) return this.sendNewest(response, searchParams.get('after'));
     if (pathname !== LOG_READ_PATH) return writeJson(response, 404, '{}');
     const from = Number(searchParams.get('from'));
     if (from < this.first) return writeJson(response, 410, JSON.stringify({ first: this.first }));
     const waitMs = Number(searchParams.get('wait_ms'));
     if (from >= this.records.length || this.hidesRecords) await this.waitForRecord(waitMs);
-    this.answerRecords(response, this.hidesRecords ? this.records.length : from);
+    this.sendRecords(response, this.hidesRecords ? this.records.length : from);
   }
 
   private append(partition: string, body: Buffer, response: ServerResponse): void {
     const keyEnd = 5 + body.readUInt8(4);
-    const keys = this.keyed.get(partition) ?? new Map<string, string>();
+    const keys = this.systemTopics.get(partition) ?? new Map<string, string>();
     keys.set(body.toString('utf8', 5, keyEnd), body.toString('base64', keyEnd));
-    this.keyed.set(partition, keys);
+    this.systemTopics.set(partition, keys);
     writeJson(response, 200, JSON.stringify({ offset: 0, end: 1 }));
   }
 
-  private answerKeys(partition: string, response: ServerResponse): void {
-    const items = [...(this.keyed.get(partition) ?? [])].map(([key, value]) => ({ key, value, offset: 0 }));
+  private sendKeys(partition: string, response: ServerResponse): void {
+    const items = [...(this.systemTopics.get(partition) ?? [])].map(([key, value]) => ({
+      key,
+      value,
+      offset: 0,
+    }));
     const strange = this.strangeItems;
     writeJson(response, 200, JSON.stringify({ items: [...strange, ...items], more: false, end: 1 }));
   }
 
-  private answerNewest(response: ServerResponse, after: string | null): void {
+  private sendNewest(response: ServerResponse, after: string | null): void {
     const keys = this.listKeysAfter(after);
     const page = keys.slice(0, this.pageItems);
     if (after === null) this.wholeReads += 1;
@@ -145,7 +151,7 @@
     void writeSlowly(response, text, this.bytesPerMs);
   }
 
-  /** The operators' keys behind one, which need not be there. */
+  /** Lists the operator's keys after the given one, which may be missing. */
   private listKeysAfter(
     after: string | null,
   ): [string, { readonly value: string; readonly offset: number }][] {
@@ -155,7 +161,7 @@
     return at >= 0 ? keys.slice(at + 1) : keys.filter(([key]) => key > after);
   }
 
-  private answerRecords(response: ServerResponse, from: number): void {
+  private sendRecords(response: ServerResponse, from: number): void {
     const head = Buffer.alloc(16);
     head.writeBigUInt64BE(BigInt(this.records.length), 0);
     head.writeBigUInt64BE(BigInt(this.first), 8);
@@ -177,13 +183,13 @@
   }
 }
 
-/** Writes an answer in parts, as a thin link carries it. */
+/** Writes an answer in chunks, as over a slow link. */
 async function writeSlowly(response: ServerResponse, text: string, bytesPerMs: number): Promise<void> {
   response.writeHead(200, { 'content-type': 'application/json' });
-  const part = Math.ceil(bytesPerMs * PART_MS);
+  const part = Math.ceil(bytesPerMs * CHUNK_INTERVAL_MS);
   for (let at = 0; at < text.length && !response.destroyed; at += part) {
     response.write(text.slice(at, at + part));
-    await sleep(PART_MS);
+    await sleep(CHUNK_INTERVAL_MS);
   }
   response.end();
 }
--- a/standins/upstream/UpstreamStandin.ts
+++ b/standins/upstream/UpstreamStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for an upstream: holds a slot for the time that a task asks for, and counts every start. */
+/** Stand-in for an upstream: occupies a slot for the duration a task requests, and counts all starts. */
 import type { ServerResponse } from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
 
@@ -7,30 +7,29 @@
 import { StandinServer } from '../StandinServer.js';
 import type { StandinRequest } from '../StandinServer.js';
 
-/** What a task body may ask of the stand-in. */
-interface WorkBody {
+/** Body of a task. */
+interface TaskBody {
   readonly workMs?: number;
   readonly echo?: unknown;
 }
 
-/** Faults that tests switch by `PUT /faults`. */
+/** Faults that tests set with `PUT /faults`. */
 export interface UpstreamFaults {
-  /** Tasks are taken and never answered. */
+  /** Whether tasks run but are never answered. */
   stall: boolean;
-  /** Added to every answer, ms. */
+  /** Delay added to every answer, ms. */
   lateMs: number;
-  /** So many of the next answers are not JSON. */
+  /** Number of following answers that are not JSON. */
   garbage: number;
-  /** So many of the next connections are cut in the middle of a task. */
+  /** Number of following answers that are replaced by a closed connection. */
   cut: number;
 }
 
-/** The stand-in. */
 export class UpstreamStandin extends StandinServer {
   readonly faults: UpstreamFaults = { stall: false, lateMs: 0, garbage: 0, cut: 0 };
   private readonly starts = new Map<string, number>();
   private readonly queue: (() => void)[] = [];
-  /** Begin and end of every slot's use, ms since the epoch. */
+  /** Begin and end of every use of a slot, Unix ms. */
   private readonly intervals: [number, number][] = [];
   private busy = 0;
   private busyMs = 0;
@@ -41,12 +40,12 @@
     super();
   }
 
-  /** Starts by task id. */
+  /** Number of starts by task id. */
   get startCounts(): ReadonlyMap<string, number> {
     return this.starts;
   }
 
-  /** When slots were held: begin and end, ms since the epoch. */
+  /** Begin and end of every use of a slot, Unix ms. */
   get busyIntervals(): readonly (readonly [number, number])[] {
     return this.intervals;
   }
@@ -54,7 +53,7 @@
   protected override async handle(request: StandinRequest, response: ServerResponse): Promise<void> {
     const { method, url } = request;
     if (method === 'POST' && url.pathname.startsWith('/tasks/')) return this.runTask(request, response);
-    if (url.pathname === '/starts') return this.showStarts(response);
+    if (url.pathname === '/starts') return this.sendStarts(response);
     if (url.pathname === '/statsz') {
       const { busy, busyMs, startedTotal, highestBusy } = this;
       return writeJson(response, 200, JSON.stringify({ busy, busyMs, startedTotal, highestBusy }));
@@ -72,14 +71,14 @@
     const id = String(request.headers['marblehall-task'] ?? 'unnamed');
     this.starts.set(id, (this.starts.get(id) ?? 0) + 1);
     this.startedTotal += 1;
-    const { workMs = 0, echo = null } = JSON.parse(request.text) as WorkBody;
-    await this.takeSlot();
+    const { workMs = 0, echo = null } = JSON.parse(request.text) as TaskBody;
+    await this.acquireSlot();
     const begin = Date.now();
     await sleep(workMs * this.settings.speed);
     const end = Date.now();
     this.busyMs += end - begin;
     this.intervals.push([begin, end]);
-    this.freeSlot();
+    this.releaseSlot();
     if (this.faults.stall) return;
     if (this.faults.lateMs > 0) await sleep(this.faults.lateMs);
     if (this.faults.cut > 0) {
@@ -93,19 +92,19 @@
     writeJson(response, 200, JSON.stringify({ echo }));
   }
 
-  private async takeSlot(): Promise<void> {
+  private async acquireSlot(): Promise<void> {
     if (this.busy >= this.settings.slots) await new Promise<void>((resolve) => this.queue.push(resolve));
     else this.busy += 1;
     this.highestBusy = Math.max(this.highestBusy, this.busy);
   }
 
-  private freeSlot(): void {
+  private releaseSlot(): void {
     const next = this.queue.shift();
     if (next) next();
     else this.busy -= 1;
   }
 
-  private showStarts(response: ServerResponse): void {
+  private sendStarts(response: ServerResponse): void {
     writeJson(response, 200, JSON.stringify(Object.fromEntries(this.starts)));
   }
 }
--- a/test/changingRoom.test.ts
+++ b/test/changingRoom.test.ts
@@ -31,7 +31,7 @@
     const [runner] = bench.runners;
     if (!runner) throw new Error('there is no upstream');
     const isNoted = (): boolean => bench.readOutput('agent-1').includes(describeRoom(tasks));
-    runner.toldCpu = tasks * TASK_CPU;
+    runner.reportedCpu = tasks * TASK_CPU;
     await bench.waitFor(isNoted, 'that the executor knows the room');
   }
 
@@ -57,7 +57,7 @@
   it('gets no more after its executor has started again', async () => {
     await tellRoom(1);
     await bench.waitFor(() => bench.store.keptValues.some((value) => value.includes(describeRoom(1))));
-    for (const runner of bench.runners) runner.mute = true;
+    for (const runner of bench.runners) runner.skipsHeartbeats = true;
     bench.signal('agent-1', 'SIGKILL');
     await bench.waitForExit('agent-1');
     await bench.startDaemon('agent-1');
--- a/test/fakes/PlatformBench.ts
+++ b/test/fakes/PlatformBench.ts
@@ -281,7 +281,7 @@
     const runner = new RunnerStandin(
       { id: `i-${number}`, service: SERVICE, control, cpu: RUNNER_TASKS * TASK_CPU, advertise },
       {
-        noteStart: (task, id) => {
+        recordStart: (task, id) => {
           const load = (this.loads.get(id) ?? 0) + 1;
           this.loads.set(id, load);
           this.mostAtOnce = Math.max(this.mostAtOnce, load);
@@ -292,7 +292,7 @@
           this.atWork.set(task, atWork);
           if (atWork > 1) this.doubled.push(task);
         },
-        noteEnd: (task, id) => {
+        recordEnd: (task, id) => {
           this.loads.set(id, (this.loads.get(id) ?? 1) - 1);
           this.atWork.set(task, (this.atWork.get(task) ?? 1) - 1);
         },
--- a/test/fakes/soakFaults.ts
+++ b/test/fakes/soakFaults.ts
@@ -137,7 +137,7 @@
   },
   muteOrders: async (bench, { runner }) => {
     const one = bench.runners[runner];
-    if (one) one.muteStarts = MUTED_STARTS;
+    if (one) one.unansweredStarts = MUTED_STARTS;
   },
   failTasks: async (bench, { runner }, ms) => {
     const one = bench.runners[runner];
@@ -151,7 +151,7 @@
     await sleep(ms);
     bench.store.fault = 'none';
   },
-  forgetHistory: async (bench) => bench.store.forget(),
+  forgetHistory: async (bench) => bench.store.compact(),
   evacuate: async (bench, { runner }, ms) => {
     const domain = findSoakDomain(runner + 1);
     bench.store.putEvacuation(domain);
--- a/test/operatorWord.test.ts
+++ b/test/operatorWord.test.ts
@@ -81,7 +81,7 @@
     store.fault = 'busy';
     store.dropEvacuation('north');
     store.putEvacuation('south');
-    store.forget();
+    store.compact();
     store.fault = 'none';
     await waitForList('south');
   });
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -99,7 +99,7 @@
   });
 
   it('start no task twice when a runner does not answer its orders', async () => {
-    for (const runner of bench.runners) runner.muteStarts = 3;
+    for (const runner of bench.runners) runner.unansweredStarts = 3;
     expect((await bench.submit('entry-1', 'muted', 8, 300)).body).to.equal('{"state":"completed"}');
     expect([...bench.starts.values()].filter((count) => count !== 1)).to.deep.equal([]);
   });
@@ -153,7 +153,7 @@
 
   it('use the upstream of a restarted agent before it reports itself again', async () => {
     await bench.waitFor(() => bench.store.countKeys() === 3);
-    for (const runner of bench.runners) runner.mute = true;
+    for (const runner of bench.runners) runner.skipsHeartbeats = true;
     for (const agent of ['agent-1', 'agent-2', 'agent-3']) {
       bench.signal(agent, 'SIGKILL');
       await bench.waitForExit(agent);
@@ -172,7 +172,7 @@
     ] as const) {
       bench.store.fault = fault;
       bench.putConfiguration(['/q/', prefix]);
-      bench.store.forget();
+      bench.store.compact();
       bench.store.fault = 'none';
       for (const entry of ['entry-1', 'entry-2']) {
         await bench.waitFor(async () => (await bench.get(entry, prefix)).status === 200);
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -123,7 +123,7 @@
   });
 
   it("turn an upstream's garbage into that task's failure, and a cut connection into a failed job", async () => {
-    for (const id of cluster.ids('upstream')) await cluster.setFaults(id, { garbage: 1 });
+    for (const id of cluster.listIds('upstream')) await cluster.setFaults(id, { garbage: 1 });
     const garbage = await request(`${cluster.url('entry-1')}/v1/jobs`, {
       method: 'POST',
       body: JSON.stringify(buildJob('garbage', 1)),
@@ -133,7 +133,7 @@
       outcome: 'complete',
       answers: [{ status: 502, body: { error: 'answer-not-json' } }],
     });
-    for (const id of cluster.ids('upstream')) await cluster.setFaults(id, { garbage: 0, cut: 1 });
+    for (const id of cluster.listIds('upstream')) await cluster.setFaults(id, { garbage: 0, cut: 1 });
     const lost = await submitUntilAnswered(buildJob('lost', 1), cluster.entryUrls, { ...PATIENCE, first: 0 });
     expect(lost.outcome).to.equal('failed');
   });
