--- a/test/changingCapacity.test.ts
+++ b/test/changingCapacity.test.ts
@@ -31,7 +31,7 @@
     const [runner] = bench.runners;
     if (!runner) throw new Error('no upstream was started');
     const isLogged = (): boolean => bench.readOutput('agent-1').includes(buildCapacityText(tasks));
-    runner.toldCpu = tasks * TASK_CPU;
+    runner.reportedCpu = tasks * TASK_CPU;
     await bench.waitFor(isLogged, 'that the executor has the new capacity');
   }
 
@@ -57,7 +57,7 @@
   it('gets no more tasks than fit after its executor has restarted', async () => {
     await reportCapacity(1);
     await bench.waitFor(() => bench.store.keptValues.some((value) => value.includes(buildCapacityText(1))));
-    for (const runner of bench.runners) runner.mute = true;
+    for (const runner of bench.runners) runner.skipsHeartbeats = true;
     bench.signal('agent-1', 'SIGKILL');
     await bench.waitForExit('agent-1');
     await bench.startDaemon('agent-1');
