--- a/src/process/executor/AnswerMonitor.ts
+++ b/src/process/executor/AnswerMonitor.ts
@@ -47,7 +47,10 @@
     if (tookMs !== undefined) this.timeout.recordAnswer(tookMs);
   }
 
-  /** Records a timeout; it counts only if no other call has been answered since the call was sent. */
+  /**
+   * Records a timeout. It counts towards `isAnswering`, and lengthens the answer timeout, only if no other call
+   * has been answered since the call was sent.
+   */
   recordTimeout(sentAt: number, now: number): void {
     this.timedOutAt = now;
     if (this.answeredAt > sentAt) return;
--- a/src/process/executor/CapacityShares.ts
+++ b/src/process/executor/CapacityShares.ts
@@ -14,9 +14,9 @@
 const RESERVATION_MS = 20;
 /** Time without a start after which a dispatcher's demand is ignored, ms, as its tasks are sent elsewhere. */
 const UNUSED_TIMEOUT_MS = 30;
-/** Time for which the expected starts of dispatchers without waiting tasks are reserved, ms. */
+/** Time for which the expected starts of other dispatchers are reserved, ms. */
 const FORECAST_MS = 40;
-/** Tasks reserved for a dispatcher with recent starts, as the tasks of a job come together. */
+/** Minimum number of tasks reserved for a dispatcher with recent starts, as the tasks of a job arrive together. */
 const RESERVED_TASKS = 1;
 /** Limit of the demand counted for a dispatcher, in tasks; it may send to other executors as well. */
 const MAX_COUNTED_TASKS = 4;
@@ -25,7 +25,7 @@
  * which it can reuse soonest.
  */
 const TOLERATED_TASKS = 4;
-/** Age of a report before it is corrected downwards, ms, as starts may be in flight. */
+/** Minimum age of a report that is corrected downwards, ms, as starts may be in flight. */
 const CORRECTION_DELAY_MS = 30;
 /** Fraction of the task size by which capacity for one task may fall short, as sizes vary. */
 const SIZE_TOLERANCE = 0.25;
@@ -87,12 +87,12 @@
 
   /** Records the demand of a dispatcher; undefined if not reported. */
   recordDemand(dispatcher: string, waiting: number | undefined): void {
-    this.find(dispatcher).waiting = waiting;
+    this.findOrAdd(dispatcher).waiting = waiting;
   }
 
   /** Records a start ordered by a dispatcher. */
   recordStart(dispatcher: string, cpuMilli: number, now: number): void {
-    const share = this.find(dispatcher);
+    const share = this.findOrAdd(dispatcher);
     share.recent = readRecent(share, now) + cpuMilli;
     share.recentAt = now;
     this.taskSize = Math.max(cpuMilli, this.taskSize * (1 - TASK_SIZE_DECAY));
@@ -106,7 +106,7 @@
   }
 
   /** Removes a dispatcher. */
-  forget(dispatcher: string): void {
+  remove(dispatcher: string): void {
     this.shares.delete(dispatcher);
   }
 
@@ -125,23 +125,24 @@
     dispatchers: readonly DispatcherUsage[],
     now: number,
   ): ReportedShare {
-    const share = this.find(dispatcher);
-    const cpuMilli = this.findReportedShare(dispatcher, free, dispatchers, now);
+    const share = this.findOrAdd(dispatcher);
+    const cpuMilli = this.computeShare(dispatcher, free, dispatchers, now);
     const isUnchanged = cpuMilli === share.reported;
     if (!isUnchanged) share.reportedAt = now;
     this.recordShare(share, cpuMilli, now);
-    return { cpuMilli, isUnchanged: isUnchanged };
+    return { cpuMilli, isUnchanged };
   }
 
   /**
    * Checks whether a share is to be reported before the next ping: because tasks wait at the dispatcher and
-   * its share has grown, or because its reported share is too large while tasks wait at others.
+   * its share has grown, or because its reported share exceeds the free capacity while tasks wait at more than
+   * one dispatcher.
    */
   isDue(dispatcher: string, free: number, dispatchers: readonly DispatcherUsage[], now: number): boolean {
-    const { waiting, reported: reported, reportedAt: reportedAt } = this.find(dispatcher);
+    const { waiting, reported, reportedAt } = this.findOrAdd(dispatcher);
     if (
       waiting !== 0 &&
-      this.findReportedShare(dispatcher, free, dispatchers, now) >= reported + Math.max(1, this.taskSize)
+      this.computeShare(dispatcher, free, dispatchers, now) >= reported + Math.max(1, this.taskSize)
     )
       return true;
     const isOverReported =
@@ -149,7 +150,7 @@
     return isOverReported && this.listWaiting(dispatchers).length > 1;
   }
 
-  private findReportedShare(
+  private computeShare(
     dispatcher: string,
     free: number,
     dispatchers: readonly DispatcherUsage[],
@@ -158,15 +159,18 @@
     if (this.taskSize === 0 || free <= 0 || !this.hasReportedDemand(dispatcher)) return free;
     const reserved = this.sumReserved(dispatcher, dispatchers, now);
     const reservedTasks = Math.floor(reserved / this.taskSize + SIZE_TOLERANCE);
-    const left =
+    const unreserved =
       reservedTasks === 0
         ? free
         : Math.floor(free / this.taskSize + SIZE_TOLERANCE - reservedTasks) * this.taskSize;
-    return Math.max(0, Math.min(free, left, this.findDemandShare(dispatcher, free, dispatchers, now)));
+    return Math.max(
+      0,
+      Math.min(free, unreserved, this.computeDemandShare(dispatcher, free, dispatchers, now)),
+    );
   }
 
   /** Finds the share by demand; all of the free capacity if tasks wait at fewer than two dispatchers. */
-  private findDemandShare(
+  private computeDemandShare(
     dispatcher: string,
     free: number,
     dispatchers: readonly DispatcherUsage[],
@@ -174,19 +178,21 @@
   ): number {
     const waiting = this.listWaiting(dispatchers);
     if (waiting.length < 2) return free;
-    const claimants = dispatchers.filter((one) => one.incarnation === dispatcher || waiting.includes(one));
-    const claims = claimants.map((one) => {
-      const share = this.find(one.incarnation);
+    const claimants = dispatchers.filter(
+      (usage) => usage.incarnation === dispatcher || waiting.includes(usage),
+    );
+    const claims = claimants.map((usage) => {
+      const share = this.findOrAdd(usage.incarnation);
       const usesShare = share.unusedSince === undefined || now - share.unusedSince <= UNUSED_TIMEOUT_MS;
       const countedDemand = usesShare ? Math.min(share.waiting ?? 0, MAX_COUNTED_TASKS * this.taskSize) : 0;
       const tolerated =
-        one.incarnation === dispatcher && countedDemand > 0 ? TOLERATED_TASKS * this.taskSize : 0;
-      const used = Math.max(0, one.used - tolerated);
-      return { demand: countedDemand + readRecent(share, now), used, isPreferred: one.isPreferred };
+        usage.incarnation === dispatcher && countedDemand > 0 ? TOLERATED_TASKS * this.taskSize : 0;
+      const used = Math.max(0, usage.used - tolerated);
+      return { demand: countedDemand + readRecent(share, now), used, isPreferred: usage.isPreferred };
     });
     return (
       divideCapacity(free, this.taskSize, claims)[
-        claimants.findIndex((one) => one.incarnation === dispatcher)
+        claimants.findIndex((usage) => usage.incarnation === dispatcher)
       ] ?? 0
     );
   }
@@ -197,7 +203,7 @@
   private sumReserved(dispatcher: string, dispatchers: readonly DispatcherUsage[], now: number): number {
     let reserved = 0;
     for (const other of dispatchers) {
-      const share = this.find(other.incarnation);
+      const share = this.findOrAdd(other.incarnation);
       if (other.incarnation === dispatcher || share.waiting === undefined) continue;
       const reported = Math.floor(share.reported / this.taskSize + SIZE_TOLERANCE) * this.taskSize;
       const isReserved = share.waiting > 0 && now - share.reportedAt <= RESERVATION_MS;
@@ -222,7 +228,7 @@
       reported < this.taskSize * (1 - SIZE_TOLERANCE) ? undefined : (share.unusedSince ?? now);
   }
 
-  private find(dispatcher: string): DispatcherShare {
+  private findOrAdd(dispatcher: string): DispatcherShare {
     let share = this.shares.get(dispatcher);
     if (!share) this.shares.set(dispatcher, (share = createShare()));
     return share;
--- a/src/process/executor/DispatcherDirectory.test.ts
+++ b/src/process/executor/DispatcherDirectory.test.ts
@@ -35,9 +35,10 @@
   it('gives all dispatchers a similar number of executors', () => {
     const counts = new Map<string, number>();
     for (let executor = 0; executor < 70; executor += 1) {
-      const one = new DispatcherDirectory(`agent-${executor}`, MAX_LINKS);
-      one.recordMembers(PLACES, 0);
-      for (const address of one.chooseLinks(0)) counts.set(address, (counts.get(address) ?? 0) + 1);
+      const executorDirectory = new DispatcherDirectory(`agent-${executor}`, MAX_LINKS);
+      executorDirectory.recordMembers(PLACES, 0);
+      for (const address of executorDirectory.chooseLinks(0))
+        counts.set(address, (counts.get(address) ?? 0) + 1);
     }
     expect(counts.size).to.equal(12);
     for (const count of counts.values()) expect(count).to.be.within(24, 46);
@@ -100,11 +101,11 @@
   it('spreads the preferences of many executors over the dispatchers', () => {
     const counts = new Map<string, number>();
     for (let executor = 0; executor < 70; executor += 1) {
-      const one = new DispatcherDirectory(`agent-${executor}`, MAX_LINKS);
-      one.recordMembers(PLACES, 0);
-      const wanted = one.chooseLinks(0);
-      keepAlive(one, wanted, 10);
-      const preferred = one.choosePreferred(wanted, 20) ?? '';
+      const executorDirectory = new DispatcherDirectory(`agent-${executor}`, MAX_LINKS);
+      executorDirectory.recordMembers(PLACES, 0);
+      const wanted = executorDirectory.chooseLinks(0);
+      keepAlive(executorDirectory, wanted, 10);
+      const preferred = executorDirectory.choosePreferred(wanted, 20) ?? '';
       counts.set(preferred, (counts.get(preferred) ?? 0) + 1);
     }
     expect(counts.size).to.equal(12);
--- a/src/process/executor/DispatcherDirectory.ts
+++ b/src/process/executor/DispatcherDirectory.ts
@@ -12,7 +12,7 @@
 /** Time for which an unresponsive dispatcher is not selected as a substitute, ms. */
 const EXCLUSION_MS = 5_000;
 /** Time without an answer or a report by a peer after which a dispatcher is removed, ms. */
-const FORGET_MS = 20_000;
+const EXPIRY_MS = 20_000;
 
 interface KnownDispatcher {
   place: DispatcherPlace;
@@ -35,7 +35,7 @@
 
   /**
    * @param executor - process id of the executor
-   * @param maxLinks - number of links while the highest ranked dispatchers are responsive
+   * @param maxLinks - number of links while no dispatcher is excluded as unresponsive
    * @param smallFleet - number of dispatchers up to which all of them are linked
    */
   constructor(
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Selects the dispatchers to link to: the highest ranked ones, and the same number without unresponsive
-   * ones.
+   * Selects the dispatchers to link to: the highest ranked ones, and the highest ranked of those that are not
+   * excluded as unresponsive. Both are spread evenly over the failure domains.
    *
    * @param now - monotonic time, ms
    * @returns their addresses
@@ -130,9 +130,9 @@
   private updateDispatcher(address: string, dispatcher: KnownDispatcher, now: number): void {
     if (this.findUnresponsiveTime(address, now) > UNRESPONSIVE_MS)
       dispatcher.excludedUntil = now + EXCLUSION_MS;
-    const isForgotten =
-      !dispatcher.isSeed && now - Math.max(dispatcher.reportedAt, dispatcher.aliveAt) > FORGET_MS;
-    if (isForgotten) this.dispatchers.delete(address);
+    const isExpired =
+      !dispatcher.isSeed && now - Math.max(dispatcher.reportedAt, dispatcher.aliveAt) > EXPIRY_MS;
+    if (isExpired) this.dispatchers.delete(address);
   }
 
   private findOrAdd(place: DispatcherPlace, now: number): KnownDispatcher {
--- a/src/process/executor/DispatcherLinks.test.ts
+++ b/src/process/executor/DispatcherLinks.test.ts
@@ -69,7 +69,7 @@
     wake();
   }
 
-  /** Waits until the dispatcher has received a message of a type, or the executor a pong (`echo`). */
+  /** Waits until the dispatcher has received a message of a type, or the executor a pong (`pong-received`). */
   async function waitFor(type: string): Promise<void> {
     while (!received.includes(type)) await new Promise<void>((resolve) => (wake = resolve));
   }
@@ -99,7 +99,7 @@
       linkMbps: 1_000,
     };
     const log = (event: string): number => logged.push(event);
-    const executor = createExecutor(() => record('echo'));
+    const executor = createExecutor(() => record('pong-received'));
     const steady = new SteadyClock();
     const clock: Clock = {
       now: () => steady.now() + skippedMs,
@@ -140,7 +140,7 @@
     dispatcher.send({ type: 'demand' });
     await waitFor('room');
     dispatcher.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
-    await waitFor('echo');
+    await waitFor('pong-received');
     received.length = 0;
     links.scheduleCapacityReports();
     await sleep(QUIET_MS);
@@ -157,7 +157,7 @@
 
   it('dials again when a pong is overdue, before the tasks of the dispatcher are stopped', async () => {
     dispatcher.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
-    await waitFor('echo');
+    await waitFor('pong-received');
     received.length = 0;
     // The next ping gets no pong. Tasks are stopped three ping intervals after the last acknowledged ping.
     skippedMs += PING_MS;
@@ -172,7 +172,7 @@
   it('keeps a connection whose dispatcher has answered recently', async () => {
     skippedMs = 2_000;
     dispatcher.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
-    await waitFor('echo');
+    await waitFor('pong-received');
     received.length = 0;
     links.updateLinks();
     await sleep(QUIET_MS);
--- a/src/process/executor/DispatcherLinks.ts
+++ b/src/process/executor/DispatcherLinks.ts
@@ -152,13 +152,14 @@
     this.updatePreferred(now);
   }
 
-  /** Sends the pings that are due, and dials links again whose pong is overdue. */
+  /** Sends the pings that are due, and dials dispatchers again whose pong is overdue. */
   sendDuePings(): void {
     const now = this.clock.now();
     this.dialer.checkPongs();
     const links = [...this.links.values()];
     if (!links.some((link) => this.isPingDue(link, now))) return;
-    for (const link of links) if (this.isOlderPing(link, now, BATCH_PING_INTERVALS)) this.sendPing(link, now);
+    for (const link of links)
+      if (this.isPingOlderThan(link, now, BATCH_PING_INTERVALS)) this.sendPing(link, now);
   }
 
   /**
@@ -204,8 +205,8 @@
 
   /** Sends the list of dispatchers that this executor has a working link to, on all links. */
   sendMembers(): void {
-    const entries = this.directory.listAlive(this.clock.now());
-    for (const { channel } of this.links.values()) channel.send({ type: 'members', entries });
+    const dispatchers = this.directory.listAlive(this.clock.now());
+    for (const { channel } of this.links.values()) channel.send({ type: 'members', entries: dispatchers });
   }
 
   /** Closes all links. */
@@ -216,7 +217,7 @@
   /** Selects the preferred dispatcher among the responsive ones on wanted links. */
   private updatePreferred(now: number): void {
     const links = [...this.links.values()].filter(
-      ({ incarnation: incarnation, retiringSince }) => incarnation !== '' && retiringSince === undefined,
+      ({ incarnation, retiringSince }) => incarnation !== '' && retiringSince === undefined,
     );
     const preferred = this.directory.choosePreferred(
       links.map(({ address }) => address),
@@ -349,12 +350,12 @@
   }
 
   private isPingDue(link: DispatcherLink, now: number): boolean {
-    return this.isOlderPing(link, now, PING_DUE_INTERVALS);
+    return this.isPingOlderThan(link, now, PING_DUE_INTERVALS);
   }
 
   /** Checks whether the newest ping of a link is at least the given number of ping intervals old. */
-  private isOlderPing(
-    { incarnation: incarnation, pingedAt }: DispatcherLink,
+  private isPingOlderThan(
+    { incarnation, pingedAt }: DispatcherLink,
     now: number,
     intervals: number,
   ): boolean {
--- a/src/process/executor/Executor.ts
+++ b/src/process/executor/Executor.ts
@@ -74,8 +74,9 @@
 }
 
 interface DispatcherLiveness {
-  /** When the ping that the dispatcher last acknowledged was sent, by the local clock. */
+  /** Local time at which the ping that it last acknowledged, or the hello message of its link, was sent. */
   acknowledgedAt: number;
+  /** Number of start orders received on its current link. */
   startsSeen: number;
   /** Typical speed of upstreams as reported by the dispatcher. */
   typicalSpeed: number;
@@ -83,6 +84,7 @@
   reported: ReportedCapacity;
   /** Whether its link is about to be closed, so that it must not order new tasks. */
   isRetiring: boolean;
+  /** Recent results, oldest first. */
   results: RetainedResult[];
 }
 
@@ -99,7 +101,7 @@
   readonly description: UpstreamDescription | undefined;
   /** State, health, speed and preference as JSON. */
   readonly status: string;
-  /** The status, free capacity and counted starts as JSON; empty to force the next report. */
+  /** The status, free capacity and number of received starts as JSON; empty to force the next report. */
   readonly capacity: string;
 }
 
@@ -202,7 +204,7 @@
     this.stopDispatcher(dispatcher, 'entry-replaced');
     this.sendUnacknowledgedCrashes(dispatcher);
     this.liveness.delete(dispatcher);
-    this.shares.forget(dispatcher);
+    this.shares.remove(dispatcher);
   }
 
   /** Free capacity. */
@@ -243,8 +245,8 @@
   /** Handles the reply of a dispatcher to a ping. */
   handlePong(dispatcher: string, { at, typicalSpeed, isWaiting, waitingCpuMilli }: Pong): void {
     // Only the first pong of a link always has the amount; later ones omit it while no tasks wait.
-    const isOver = !isWaiting && this.shares.hasReportedDemand(dispatcher);
-    this.shares.recordDemand(dispatcher, isOver ? 0 : waitingCpuMilli);
+    const hasNoDemand = !isWaiting && this.shares.hasReportedDemand(dispatcher);
+    this.shares.recordDemand(dispatcher, hasNoDemand ? 0 : waitingCpuMilli);
     const liveness = this.recordLiveness(dispatcher, at);
     liveness.typicalSpeed = typicalSpeed;
   }
@@ -281,12 +283,17 @@
     this.expireDispatchers(now);
     const liveness = this.findLiveness(dispatcher, -Infinity);
     liveness.startsSeen += 1;
-    const refusal = this.findRefusal(order, liveness, now);
-    if (refusal instanceof UpstreamSession) {
+    const sessionOrReason = this.admitStart(order, liveness, now);
+    if (sessionOrReason instanceof UpstreamSession) {
       this.shares.recordStart(dispatcher, order.resources.cpuMilli, now);
-      return refusal.offer(order, dispatcher);
+      return sessionOrReason.offer(order, dispatcher);
     }
-    this.sendResult(dispatcher, { type: 'result', name: order.name, end: 'not-run', reason: refusal });
+    this.sendResult(dispatcher, {
+      type: 'result',
+      name: order.name,
+      end: 'not-run',
+      reason: sessionOrReason,
+    });
   }
 
   /** Handles the order of a dispatcher to stop an attempt; sends nothing if the attempt is not here. */
@@ -320,9 +327,9 @@
   }
 
   /**
-   * Returns the capacity to report, and records it as reported. Pings also report the number of counted
-   * starts. Between them a share is reported only if the dispatcher cannot derive it from the last report and
-   * its own starts.
+   * Returns the capacity to report, and records it as reported. A ping reports any difference from the last
+   * report, even if only the number of received starts differs. Between pings, nothing is reported if the
+   * dispatcher can derive its share from the last report and its own starts.
    */
   private takeCapacityReport(dispatcher: string, isPing: boolean): CapacityReport | undefined {
     const liveness = this.findLiveness(dispatcher, -Infinity);
@@ -332,9 +339,9 @@
     const reported = { description, status: JSON.stringify(status), capacity: JSON.stringify(details) };
     const isNew = description !== liveness.reported.description;
     if (!isNew && reported.capacity === liveness.reported.capacity) return undefined;
-    const isExpected =
+    const isDerivable =
       isUnchanged && liveness.reported.capacity !== '' && reported.status === liveness.reported.status;
-    if (!isNew && !isPing && isExpected) return undefined;
+    if (!isNew && !isPing && isDerivable) return undefined;
     if (this.hasShare(dispatcher) && status.state === 'ready') this.effects.handleShareChange?.();
     liveness.reported = reported;
     return { description: isNew ? description : undefined, ...details };
@@ -364,7 +371,7 @@
     state: CapacityReport['state'],
   ): { readonly free: Resources; readonly isUnchanged: boolean } {
     const { free } = this;
-    // On probation one task at a time is taken; the undivided capacity shows whether one is running.
+    // On probation one task at a time is admitted; the undivided capacity shows whether one is running.
     const isUndivided = state !== 'ready' || this.findSession()?.readHealth() !== 'healthy';
     if (isUndivided || !this.hasShare(dispatcher)) return { free, isUnchanged: false };
     const dispatchers = this.listDispatcherUsage();
@@ -395,7 +402,7 @@
     return usage;
   }
 
-  /** Lists the progress of a dispatcher's stalled or slow attempts, which are the only ones it may move. */
+  /** Lists the progress of a dispatcher's attempts that are stalled or at a slow upstream: it moves no others. */
   private listProgress(dispatcher: string): AttemptProgress[] {
     const now = this.clock.now();
     const typicalSpeed = this.liveness.get(dispatcher)?.typicalSpeed ?? 1;
@@ -440,7 +447,7 @@
     for (const session of this.incarnations.list()) session.stopAll(reason);
   }
 
-  /** Closes the sessions; the leases of running tasks expire. */
+  /** Closes the sessions without stopping any run: tasks are finished as lost, and their leases expire. */
   close(): void {
     for (const session of this.incarnations.list()) session.close('agent-ends');
   }
@@ -456,9 +463,9 @@
       this.sendUnacknowledgedCrashes(dispatcher);
       while (liveness.results[0] && now - liveness.results[0].at > RESULT_RETENTION_MS)
         liveness.results.shift();
-      if (ageMs <= FORGET_DISPATCHER_MS) continue;
+      if (ageMs <= DISPATCHER_EXPIRY_MS) continue;
       this.liveness.delete(dispatcher);
-      this.shares.forget(dispatcher);
+      this.shares.remove(dispatcher);
     }
   }
 
@@ -493,11 +500,8 @@
     return stopped;
   }
 
-  private findRefusal(
-    order: StartOrder,
-    liveness: DispatcherLiveness,
-    now: number,
-  ): string | UpstreamSession {
+  /** Selects the session for a start, or returns the reason to reject the start. */
+  private admitStart(order: StartOrder, liveness: DispatcherLiveness, now: number): string | UpstreamSession {
     if (this.leaving) return 'leaving';
     if (this.isEmptied) return DOMAIN_EMPTIED;
     if (now > order.expiresAt) return 'expired';
@@ -556,8 +560,8 @@
     const now = this.clock.now();
     const liveness = this.findLiveness(dispatcher, -Infinity);
     const { results } = liveness;
-    // The dispatcher counts the capacity of an ended attempt as free until the next report, which must be
-    // sent.
+    // The dispatcher counts the capacity of an ended attempt as free until the next report, which is therefore
+    // sent even if nothing has changed.
     liveness.reported = { ...liveness.reported, capacity: '' };
     while (results[0] && now - results[0].at > RESULT_RETENTION_MS) results.shift();
     results.push({ at: now, result, crash });
@@ -569,7 +573,7 @@
 const DOMAIN_EMPTIED = 'domain-emptied';
 
 /** Time after which unresponsive dispatchers are removed, ms. */
-const FORGET_DISPATCHER_MS = 10_000;
+const DISPATCHER_EXPIRY_MS = 10_000;
 
 const STATE_PREFERENCE = ['ready', 'silent', 'joining', 'draining', 'absent'] as const;
 
--- a/src/process/executor/ExecutorDaemon.ts
+++ b/src/process/executor/ExecutorDaemon.ts
@@ -32,7 +32,7 @@
 /** Interval of messages that list the known dispatchers, ms. */
 const MEMBERS_INTERVAL_MS = 5_000;
 /**
- * End of the grace period that is reserved for stopping the remaining tasks and sending their results, ms.
+ * Last part of the grace period, reserved for stopping the remaining tasks and sending their results, ms.
  */
 const STOP_MARGIN_MS = 700;
 
--- a/src/process/executor/FencingTokens.ts
+++ b/src/process/executor/FencingTokens.ts
@@ -29,7 +29,7 @@
   /** Issues a token above all tokens issued before. */
   take(): number {
     this.step = 1;
-    return this.raiseTo(this.last + 1);
+    return this.issue(this.last + 1);
   }
 
   /**
@@ -39,13 +39,13 @@
    * @param refused - token that an upstream has refused
    */
   takeAbove(refused: number): number {
-    const token = this.raiseTo(Math.max(this.last, refused) + this.step);
+    const token = this.issue(Math.max(this.last, refused) + this.step);
     this.step = Math.min(MAX_STEP_MS, this.step * 2);
     return token;
   }
 
-  private raiseTo(least: number): number {
-    this.last = Math.max(least, Math.floor(this.offsetMs + this.clock.readSteady()));
+  private issue(minimum: number): number {
+    this.last = Math.max(minimum, Math.floor(this.offsetMs + this.clock.readSteady()));
     return this.last;
   }
 }
--- a/src/process/executor/HealthMeter.ts
+++ b/src/process/executor/HealthMeter.ts
@@ -30,7 +30,8 @@
   }
 
   /**
-   * Records a failure. Consecutive failures of one job count once, as the job itself may be the cause.
+   * Records a failed task. It is not counted if its job is the one of the last counted failure, as the job itself
+   * may be the cause.
    *
    * @returns whether the upstream has just become suspect
    */
--- a/src/process/executor/RunHistory.ts
+++ b/src/process/executor/RunHistory.ts
@@ -3,7 +3,7 @@
 /** Maximum number of tasks that are kept; the oldest are removed. */
 const MAX_TASKS = 20_000;
 
-/** Run numbers of the tasks of one upstream. */
+/** Run numbers of the tasks at one incarnation. */
 export class RunHistory {
   private readonly highest = new Map<string, number>();
 
--- a/src/process/executor/RunOrders.ts
+++ b/src/process/executor/RunOrders.ts
@@ -21,7 +21,7 @@
 const ANSWER_POLL_MS = 40;
 /** Pause before an order is repeated, ms. */
 const REPEAT_PAUSE_MS = 15;
-/** Number of attempts to send a start before it is withdrawn. */
+/** Number of times that a start is sent before it is withdrawn. */
 const MAX_START_SENDS = 4;
 
 /** Callbacks to the session. */
@@ -60,7 +60,7 @@
     private readonly host: OrderHost,
   ) {}
 
-  /** Sends a start until it is settled; withdraws it if no attempt is answered. */
+  /** Sends a start until it is settled, and withdraws it if it is not settled by the last send. */
   async start(task: LocalTask): Promise<void> {
     for (let sends = 0; task.phase === 'starting' && !this.host.isOver(); sends += 1) {
       if (sends >= MAX_START_SENDS) return this.host.withdraw(task, 'start-unanswered');
@@ -92,7 +92,7 @@
       case 'late':
         return false;
       case 'other-life':
-        // Another incarnation has refused it, so this attempt cannot have started it here.
+        // Another incarnation has refused it, so this send cannot have started it here.
         task.openSends -= 1;
         this.host.handleOtherIncarnation();
         return true;
@@ -107,9 +107,9 @@
   }
 
   /**
-   * Handles the answer that a run with the same or a higher number has stopped or ended there. If it was this
-   * run, its end is listed with the next renewal; if it was a run of an earlier executor incarnation, the
-   * task gets a higher run number.
+   * Handles the answer that a run with the same or a higher number has been stopped or has ended there. The end
+   * of this run would have been listed by the renewal that a repeated start waits for, so it was a run of an
+   * earlier executor incarnation: the task gets a higher run number.
    */
   private settleSuperseded(task: LocalTask): boolean {
     const next = this.runs.take(task.key);
--- a/src/process/executor/SpeedMeter.ts
+++ b/src/process/executor/SpeedMeter.ts
@@ -12,11 +12,11 @@
 export interface ProgressSample {
   /** Key of the task. */
   readonly key: string;
-  /** Fraction of the task's work, 0 to 1. */
+  /** Fraction of the task's work that was done since then, 0 to 1. */
   readonly share: number;
   /** Caller's estimate of the duration of the whole task, ms. */
   readonly estimateMs: number;
-  /** Elapsed run time, ms. */
+  /** Run time since then, ms. */
   readonly elapsedMs: number;
 }
 
@@ -35,7 +35,7 @@
   private workMs = 0;
   private timeMs = 0;
   private updatedAt: number;
-  private value = 1;
+  private speed = 1;
 
   constructor(now: number) {
     super();
@@ -46,7 +46,7 @@
     this.decay(now);
     this.workMs += share * estimateMs;
     this.timeMs += elapsedMs;
-    if (this.timeMs >= MIN_OBSERVED_MS) this.value = this.workMs / this.timeMs;
+    if (this.timeMs >= MIN_OBSERVED_MS) this.speed = this.workMs / this.timeMs;
   }
 
   override recordEnd(): void {
@@ -54,7 +54,7 @@
   }
 
   override read(now: number): number {
-    return adjustIdle(this.value, now - this.updatedAt);
+    return adjustIdle(this.speed, now - this.updatedAt);
   }
 
   private decay(now: number): void {
@@ -69,7 +69,7 @@
 const TASK_DECAY_MS = 200;
 /**
  * Run time from which a running task counts, as a fraction of its estimate, as progress is reported in whole
- * percent. Later samples would be biased: the short tasks that still run then are the slow ones.
+ * percent. A larger fraction would bias the speed: of the short tasks, only the slow ones run that long.
  */
 const MIN_TASK_SHARE = 0.15;
 /** Age up to which ended tasks count in addition to running ones, ms. */
@@ -124,9 +124,9 @@
     const speeds = this.listRunning();
     if (speeds.length > 0 && speeds.every((speed) => speed < STALLED_SPEED)) return Math.max(...speeds);
     for (let at = this.ended.length - 1; at >= 0; at -= 1) {
-      const one = this.ended[at];
-      if (!one || (now - one.at > RECENT_MS && speeds.length >= MIN_TASKS)) break;
-      speeds.push(one.speed);
+      const task = this.ended[at];
+      if (!task || (now - task.at > RECENT_MS && speeds.length >= MIN_TASKS)) break;
+      speeds.push(task.speed);
     }
     if (speeds.length === 0) return 1;
     speeds.sort((left, right) => left - right);
--- a/src/process/executor/UpstreamCalls.ts
+++ b/src/process/executor/UpstreamCalls.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to one incarnation of one upstream. Each carries the lease and the fencing token, and has a timeout
- * based on recent round-trip times. Answers and timeouts update the clock estimate and the responsiveness of
+ * Calls to one incarnation of one upstream. Starts and renewals carry the end of the lease; every call carries
+ * the fencing token and has a timeout based on recent response times. Answers and timeouts update the clock estimate and the responsiveness of
  * the upstream.
  */
 import type { Clock } from '../../_lib/Clock.js';
@@ -44,7 +44,7 @@
   private readonly lease: UpstreamLease;
   private readonly monitor: AnswerMonitor;
   private fencingToken: number;
-  /** When the newest answered renewal was sent; initially, when the upstream was found. */
+  /** When the newest renewal that was granted was sent; initially, when the upstream was found. */
   private renewalSentAt: number;
 
   /**
@@ -76,12 +76,12 @@
     return this.monitor.isAnswering;
   }
 
-  /** Whether all leases expired at least `ms` ago, so that nothing can run at the upstream any more. */
+  /** Whether all leases expired more than `ms` ago, so that nothing can run at the upstream any more. */
   hasLapsedFor(ms: number): boolean {
     return this.clock.readSteady() > this.lease.aliveUntil + ms;
   }
 
-  /** When the newest answered renewal was sent. */
+  /** When the newest renewal that was granted was sent; initially, when the upstream was found. */
   get renewedAt(): number {
     return this.renewalSentAt;
   }
@@ -91,23 +91,23 @@
     return this.fencingToken;
   }
 
-  /** Sends a start. Rejects on a timeout. */
+  /** Sends a start, which extends the lease of all runs. Rejects if no valid answer arrives in time. */
   async start(name: RunName, spec: string): Promise<StartVerdict> {
     const sentAt = this.clock.now();
     const leaseUntilMs = this.lease.extend(this.clock.readSteady());
     const order = { name, spec, leaseUntilMs, fencingToken: this.fencingToken };
-    return this.watch(sentAt, () => this.api.start(order, this.monitor.timeoutMs));
+    return this.sendOrder(sentAt, () => this.api.start(order, this.monitor.timeoutMs));
   }
 
-  /** Sends a stop. Rejects on a timeout. */
+  /** Sends a stop. Rejects if no valid answer arrives in time. */
   async stop(name: RunName): Promise<StopVerdict> {
     const sentAt = this.clock.now();
-    return this.watch(sentAt, () => this.api.stop(name, this.fencingToken, this.monitor.timeoutMs));
+    return this.sendOrder(sentAt, () => this.api.stop(name, this.fencingToken, this.monitor.timeoutMs));
   }
 
   /**
-   * Renews the lease. If no renewal has been answered for the duration of a lease, it is no longer extended,
-   * so that all runs end at a known time. Rejects on a timeout.
+   * Renews the lease. If no renewal has been granted for the duration of a lease, further ones do not extend
+   * it, so that all runs end at a known time. Rejects if no valid answer arrives in time.
    *
    * @param lastSequence - sequence number up to which ends have been applied
    * @param mayWait - whether the upstream may hold the renewal until a run ends
@@ -152,7 +152,8 @@
     return Math.floor(Math.min(longestMs, this.bounds.leaseMs * RENEWAL_LEASE_SHARE));
   }
 
-  private async watch<Verdict extends string>(
+  /** Sends a start or a stop, and records its answer or timeout. */
+  private async sendOrder<Verdict extends string>(
     sentAt: number,
     call: () => Promise<{ readonly verdict: Verdict; readonly clockMs: number | undefined }>,
   ): Promise<Verdict> {
--- a/src/process/executor/UpstreamIncarnations.test.ts
+++ b/src/process/executor/UpstreamIncarnations.test.ts
@@ -95,20 +95,20 @@
     expect(findOpen()?.state).to.equal('ready');
     incarnations.handleReport({ ...buildReport(upstream.bornAt, 2), isDraining: true });
     expect(findOpen()?.state).to.equal('draining');
-    findOpen()?.offer(ORDER, 'entry');
+    findOpen()?.offer(ORDER, 'dispatcher');
     await advance(100);
     expect(upstream.starts).to.equal(0);
   });
 
   it('apply ends listed by the next incarnation, although their sequence numbers restart', async () => {
     for (let index = 0; index < 3; index += 1) {
-      findOpen()?.offer(buildStartOrder(index), 'entry');
+      findOpen()?.offer(buildStartOrder(index), 'dispatcher');
     }
     await advance(300);
     restart();
     incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
-    findOpen()?.offer(buildStartOrder(3), 'entry');
+    findOpen()?.offer(buildStartOrder(3), 'dispatcher');
     await advance(300);
     expect(ends).to.deep.equal(['0 done', '1 done', '2 done', '3 done']);
   });
@@ -128,7 +128,7 @@
   it('finish a task as lost only once the next incarnation, which its start has reached, no longer runs it', async () => {
     upstream.taskMs = 5_000;
     restart();
-    findOpen()?.offer(ORDER, 'entry');
+    findOpen()?.offer(ORDER, 'dispatcher');
     await advance(20);
     expect(upstream.running.size).to.equal(1);
     upstream.silent = true;
@@ -143,7 +143,7 @@
 
   it('give the next incarnation work only once a later call shows that it runs nothing of the earlier one', async () => {
     upstream.taskMs = 5_000;
-    findOpen()?.offer(ORDER, 'entry');
+    findOpen()?.offer(ORDER, 'dispatcher');
     await advance(60);
     restart();
     incarnations.handleReport(buildReport(upstream.bornAt, 1));
@@ -160,14 +160,14 @@
     expect(upstream.token).to.be.greaterThan(NEXT_CLOCK_MS + 1_000);
     incarnations.handleReport(buildReport(upstream.bornAt, 1));
     await advance(60);
-    findOpen()?.offer(ORDER, 'entry');
+    findOpen()?.offer(ORDER, 'dispatcher');
     await advance(200);
     expect(ends).to.deep.equal(['0 done']);
   });
 
   it('finish the tasks of an earlier incarnation if the next one is unreachable as well', async () => {
     upstream.taskMs = 5_000;
-    findOpen()?.offer(ORDER, 'entry');
+    findOpen()?.offer(ORDER, 'dispatcher');
     await advance(60);
     restart();
     upstream.silent = true;
@@ -190,7 +190,7 @@
   });
 
   it('continue with the answering incarnation if a later one is reported that does not answer', async () => {
-    findOpen()?.offer({ ...ORDER, estimateMs: 300 }, 'entry');
+    findOpen()?.offer({ ...ORDER, estimateMs: 300 }, 'dispatcher');
     await advance(40);
     incarnations.handleReport({ ...buildReport(BORN_MS + 5_000, 1), address: '127.0.0.1:9' });
     await advance(40);
--- a/src/process/executor/UpstreamIncarnations.ts
+++ b/src/process/executor/UpstreamIncarnations.ts
@@ -8,7 +8,7 @@
  *
  * Orders sent before a restart is detected reach the next incarnation. The tasks of a superseded incarnation
  * therefore count as ended only once the next one has accepted a call with a newer fencing token and runs
- * nothing unknown.
+ * nothing unknown, or once no incarnation is reachable and all leases have expired.
  */
 import type { Clock } from '../../_lib/Clock.js';
 import type { UpstreamReport } from '../../ports/UpstreamRegistry.js';
@@ -19,7 +19,7 @@
 import type { SessionBounds, SessionEvents } from './sessionEvents.js';
 
 /** Time without a report after which an unreachable upstream is removed, ms. */
-const FORGET_UPSTREAM_MS = 5_000;
+const UPSTREAM_EXPIRY_MS = 5_000;
 /** Sequence number of a report that was not sent by the incarnation itself; lower than all that it sends. */
 const UNREPORTED_SEQUENCE = -1;
 
@@ -50,7 +50,7 @@
     private readonly events: IncarnationEvents,
   ) {}
 
-  /** Lists all sessions that hold tasks or may do so. */
+  /** Lists all sessions, including superseded ones whose tasks are not finished. */
   list(): UpstreamSession[] {
     return [...this.sessions.values()];
   }
@@ -67,10 +67,10 @@
   }
 
   /**
-   * Handles the announcement of an upstream that it shuts down.
+   * Handles a shutdown announcement.
    *
    * @param id - id of the upstream
-   * @param bornAt - start of its incarnation; undefined if not reported
+   * @param bornAt - start of its incarnation; undefined for all incarnations with this id
    */
   handleLeave(id: string, bornAt: number | undefined): void {
     for (const session of this.listIncarnations(id)) {
@@ -79,24 +79,27 @@
     }
   }
 
-  /** Removes incarnations that are gone, and finishes their tasks. */
+  /**
+   * Starts waiting tasks, and closes the sessions of unreachable incarnations, which finishes their tasks as
+   * lost.
+   */
   tick(now: number): void {
     for (const session of this.list()) {
       session.startWaitingTasks();
       const reportedAt = this.reportedAt.get(session.name) ?? now;
-      if (!session.isReachable && now - reportedAt > FORGET_UPSTREAM_MS) session.close('forgotten');
-      const isLast = !this.listIncarnations(session.id).some(({ isReachable }) => isReachable);
-      if (session.isSuperseded && isLast) this.end(session);
+      if (!session.isReachable && now - reportedAt > UPSTREAM_EXPIRY_MS) session.close('forgotten');
+      const isNoneReachable = !this.listIncarnations(session.id).some(({ isReachable }) => isReachable);
+      if (session.isSuperseded && isNoneReachable) this.end(session);
     }
     for (const name of this.reportedAt.keys()) if (!this.sessions.has(name)) this.reportedAt.delete(name);
   }
 
   /** Lists the incarnations of an upstream that may be running. */
   private listIncarnations(id: string): UpstreamSession[] {
-    return this.list().filter((one) => one.id === id && !one.isSuperseded && !one.isClosed);
+    return this.list().filter((session) => session.id === id && !session.isSuperseded && !session.isClosed);
   }
 
-  /** Handles the report of an unknown incarnation; one that is older than the answering one is skipped. */
+  /** Handles the report of an incarnation without an open session; skipped if older than the running one. */
   private handleNewIncarnation(report: UpstreamReport): void {
     const current = this.listIncarnations(report.id).find(({ isJoined }) => isJoined);
     if (current && isEarlier(report, current)) return this.skipReport(report, 'of an earlier life');
@@ -116,7 +119,7 @@
     const { service, capacity, labels, isDraining } = report;
     const fields = { upstream: name, service, capacity, labels, isDraining, isDescribed };
     this.events.log('upstream-found', fields);
-    void session.run().finally(() => this.forget(session));
+    void session.run().finally(() => this.removeClosed(session));
     return session;
   }
 
@@ -137,7 +140,10 @@
     if (!wasDescribed && session.isJoined) this.events.handleJoined(report);
   }
 
-  /** Handles an answer of an unexpected incarnation, whose capacity is unknown until its first report. */
+  /**
+   * Handles an answer with another start time. The capacity of that incarnation is unknown until its first
+   * report.
+   */
   private handleOtherIncarnation(expected: UpstreamSession, bornAt: number, clockMs: number): void {
     const report = {
       ...expected.newestReport,
@@ -152,7 +158,7 @@
   }
 
   /**
-   * Handles the first readiness of an incarnation; one without a report is announced when it is described.
+   * Reports that an incarnation is ready. If it has not sent a report yet, `updateDescription` does so later.
    */
   private handleJoin(session: UpstreamSession): void {
     if (session.isDescribed) this.events.handleJoined(session.newestReport);
@@ -164,13 +170,13 @@
   }
 
   /**
-   * Handles an answer which shows that an incarnation is running and runs nothing unknown: supersedes all
-   * others, and ends those that were superseded before the call was sent.
+   * Handles a renewal answer of the running incarnation that lists no unknown run: supersedes all others, and
+   * ends those that were superseded before the renewal was sent.
    *
-   * @returns whether no other incarnation is left
+   * @returns whether the sessions with all other incarnations are closed
    */
   private settle(session: UpstreamSession, sentAt: number): boolean {
-    const others = this.list().filter((one) => one.id === session.id && one !== session);
+    const others = this.list().filter((other) => other.id === session.id && other !== session);
     for (const other of others) {
       if (!other.isSuperseded) this.supersede(other, session);
       else if ((other.supersededAt ?? sentAt) < sentAt) this.end(other);
@@ -180,11 +186,11 @@
 
   private end(session: UpstreamSession): void {
     session.close('superseded');
-    this.forget(session);
+    this.removeClosed(session);
   }
 
   /** Removes a closed session; a superseded one is kept, as its tasks still have to be finished. */
-  private forget(session: UpstreamSession): void {
+  private removeClosed(session: UpstreamSession): void {
     const { name } = session;
     if (session.isClosed && this.sessions.get(name) === session) this.sessions.delete(name);
   }
--- a/src/process/executor/UpstreamLease.ts
+++ b/src/process/executor/UpstreamLease.ts
@@ -56,7 +56,7 @@
   /** Records the clock of an answer that has just arrived. */
   recordClock(clockMs: number, now: number): void {
     if (clockMs < this.estimate(now)) {
-      // An answer with a long transit time is less exact than the current estimate.
+      // Answers may arrive out of order; an earlier clock reading than the recorded one is skipped.
       if (clockMs < this.clockMs) return;
     }
     this.clockMs = clockMs;
--- a/src/process/executor/UpstreamSession.test.ts
+++ b/src/process/executor/UpstreamSession.test.ts
@@ -13,7 +13,7 @@
 
 const FIRST_TOKEN = 1_000_000;
 
-class Bench {
+class Fixture {
   readonly clock = new FakeClock();
   readonly upstream = new FakeUpstream(this.clock);
   readonly results: string[] = [];
@@ -51,362 +51,362 @@
   }
 
   offer(from: number, to: number): void {
-    for (let index = from; index <= to; index += 1) this.session.offer(buildStartOrder(index), 'entry');
+    for (let index = from; index <= to; index += 1) this.session.offer(buildStartOrder(index), 'dispatcher');
   }
 }
 
 describe('UpstreamSession', () => {
-  let bench: Bench;
+  let fixture: Fixture;
 
   beforeEach(() => {
-    bench = new Bench();
+    fixture = new Fixture();
   });
 
-  afterEach(() => bench.session.close('test ends'));
+  afterEach(() => fixture.session.close('test ends'));
 
   it('starts a task, renews its lease and reports its end', async () => {
-    await bench.start();
-    bench.upstream.taskMs = 2_000;
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(2_100);
-    expect(bench.results).to.deep.equal(['0 done done']);
-    expect(bench.session.free).to.deep.equal(UPSTREAM_CAPACITY);
+    await fixture.start();
+    fixture.upstream.taskMs = 2_000;
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(2_100);
+    expect(fixture.results).to.deep.equal(['0 done done']);
+    expect(fixture.session.free).to.deep.equal(UPSTREAM_CAPACITY);
   });
 
   it('never starts more tasks than fit', async () => {
-    await bench.start();
-    for (let index = 0; index < 6; index += 1) bench.session.offer(buildStartOrder(index), 'entry');
-    await bench.clock.advance(20);
-    expect(bench.upstream.running.size).to.equal(4);
-    await bench.clock.advance(60);
-    bench.session.startWaitingTasks();
-    expect(bench.results).to.have.members(['4 not-run full', '5 not-run full']);
+    await fixture.start();
+    for (let index = 0; index < 6; index += 1) fixture.session.offer(buildStartOrder(index), 'dispatcher');
+    await fixture.clock.advance(20);
+    expect(fixture.upstream.running.size).to.equal(4);
+    await fixture.clock.advance(60);
+    fixture.session.startWaitingTasks();
+    expect(fixture.results).to.have.members(['4 not-run full', '5 not-run full']);
   });
 
   it('returns tasks that do not fit within a few ms, without a tick', async () => {
-    await bench.start();
-    bench.upstream.taskMs = 500;
-    for (let index = 0; index < 5; index += 1) bench.session.offer(buildStartOrder(index), 'entry');
-    await bench.clock.advance(12);
-    expect(bench.results).to.deep.equal(['4 not-run full']);
+    await fixture.start();
+    fixture.upstream.taskMs = 500;
+    for (let index = 0; index < 5; index += 1) fixture.session.offer(buildStartOrder(index), 'dispatcher');
+    await fixture.clock.advance(12);
+    expect(fixture.results).to.deep.equal(['4 not-run full']);
   });
 
   it('repeats an unanswered start with the same run number, and starts it once', async () => {
-    await bench.start();
-    bench.upstream.fates.push('unanswered');
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(400);
-    expect(bench.upstream.starts).to.equal(1);
-    expect(bench.results).to.deep.equal(['0 done done']);
+    await fixture.start();
+    fixture.upstream.fates.push('unanswered');
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(400);
+    expect(fixture.upstream.starts).to.equal(1);
+    expect(fixture.results).to.deep.equal(['0 done done']);
   });
 
   it('does not run a task twice that ended before its unanswered start was repeated', async () => {
-    await bench.start();
-    bench.upstream.taskMs = 20;
-    bench.upstream.fates.push('unanswered');
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(600);
-    expect(bench.upstream.starts).to.equal(1);
-    expect(bench.results).to.deep.equal(['0 done done']);
+    await fixture.start();
+    fixture.upstream.taskMs = 20;
+    fixture.upstream.fates.push('unanswered');
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(600);
+    expect(fixture.upstream.starts).to.equal(1);
+    expect(fixture.results).to.deep.equal(['0 done done']);
   });
 
   it('keeps the capacity of a stopping task in use until its end is listed', async () => {
-    await bench.start();
-    bench.upstream.taskMs = 5_000;
-    for (let index = 0; index < 4; index += 1) bench.session.offer(buildStartOrder(index), 'entry');
-    await bench.clock.advance(20);
-    bench.upstream.fates.push('lost', 'lost');
-    bench.session.stop('job/0/0', 1, 'entry', 'moved');
-    await bench.clock.advance(60);
-    expect(bench.session.free.cpuMilli).to.equal(0);
-    await bench.clock.advance(400);
-    expect(bench.results).to.deep.equal(['0 stopped moved']);
-    expect(bench.session.free.cpuMilli).to.equal(1_000);
+    await fixture.start();
+    fixture.upstream.taskMs = 5_000;
+    for (let index = 0; index < 4; index += 1) fixture.session.offer(buildStartOrder(index), 'dispatcher');
+    await fixture.clock.advance(20);
+    fixture.upstream.fates.push('lost', 'lost');
+    fixture.session.stop('job/0/0', 1, 'dispatcher', 'moved');
+    await fixture.clock.advance(60);
+    expect(fixture.session.free.cpuMilli).to.equal(0);
+    await fixture.clock.advance(400);
+    expect(fixture.results).to.deep.equal(['0 stopped moved']);
+    expect(fixture.session.free.cpuMilli).to.equal(1_000);
   });
 
   it('sends only a few stops while the upstream is unresponsive', async () => {
-    await bench.start();
-    bench.upstream.taskMs = 5_000;
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(50);
-    bench.upstream.silent = true;
-    bench.session.stopAll('test');
-    await bench.clock.advance(400);
-    expect(bench.upstream.stops).to.be.lessThan(4);
-    bench.upstream.silent = false;
-    await bench.clock.advance(400);
-    expect(bench.results).to.have.length(1);
+    await fixture.start();
+    fixture.upstream.taskMs = 5_000;
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(50);
+    fixture.upstream.silent = true;
+    fixture.session.stopAll('test');
+    await fixture.clock.advance(400);
+    expect(fixture.upstream.stops).to.be.lessThan(4);
+    fixture.upstream.silent = false;
+    await fixture.clock.advance(400);
+    expect(fixture.results).to.have.length(1);
   });
 
   it('reports a withdrawn start as not run once the upstream has confirmed that', async () => {
-    await bench.start();
-    bench.upstream.fates.push('lost', 'lost', 'lost', 'lost');
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(1_000);
-    expect(bench.results).to.deep.equal(['0 not-run start-unanswered']);
-    expect(bench.upstream.starts).to.equal(0);
+    await fixture.start();
+    fixture.upstream.fates.push('lost', 'lost', 'lost', 'lost');
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(1_000);
+    expect(fixture.results).to.deep.equal(['0 not-run start-unanswered']);
+    expect(fixture.upstream.starts).to.equal(0);
   });
 
   it('finishes running tasks as lost only after all leases have expired', async () => {
-    await bench.start();
-    bench.upstream.taskMs = 5_000;
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(100);
-    bench.upstream.silent = true;
-    await bench.clock.advance(400);
-    expect(bench.results).to.deep.equal([]);
-    await bench.clock.advance(900);
-    expect(bench.results).to.deep.equal(['0 lost unreachable']);
-    expect(bench.upstream.clockMs).to.be.greaterThan(bench.upstream.leaseUntil);
+    await fixture.start();
+    fixture.upstream.taskMs = 5_000;
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(100);
+    fixture.upstream.silent = true;
+    await fixture.clock.advance(400);
+    expect(fixture.results).to.deep.equal([]);
+    await fixture.clock.advance(900);
+    expect(fixture.results).to.deep.equal(['0 lost unreachable']);
+    expect(fixture.upstream.clockMs).to.be.greaterThan(fixture.upstream.leaseUntil);
   });
 
   it('takes no work while renewals or starts are not answered', async () => {
-    await bench.start();
-    bench.upstream.silent = true;
-    await bench.clock.advance(300);
-    expect(bench.session.state).to.equal('silent');
-    expect(bench.session.free.cpuMilli).to.equal(0);
-    bench.upstream.silent = false;
-    await bench.clock.advance(300);
-    expect(bench.session.state).to.equal('ready');
-    bench.upstream.fates.push('unanswered');
-    bench.session.offer(buildStartOrder(0), 'entry');
-    bench.upstream.silent = true;
-    await bench.clock.advance(130);
-    expect(bench.session.state).to.equal('silent');
+    await fixture.start();
+    fixture.upstream.silent = true;
+    await fixture.clock.advance(300);
+    expect(fixture.session.state).to.equal('silent');
+    expect(fixture.session.free.cpuMilli).to.equal(0);
+    fixture.upstream.silent = false;
+    await fixture.clock.advance(300);
+    expect(fixture.session.state).to.equal('ready');
+    fixture.upstream.fates.push('unanswered');
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    fixture.upstream.silent = true;
+    await fixture.clock.advance(130);
+    expect(fixture.session.state).to.equal('silent');
   });
 
   it('takes work while other orders are answered, although one start was not', async () => {
-    await bench.start();
-    bench.upstream.taskMs = 2_000;
-    bench.upstream.fates.push('unanswered');
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(10);
-    bench.session.offer(buildStartOrder(1), 'entry');
+    await fixture.start();
+    fixture.upstream.taskMs = 2_000;
+    fixture.upstream.fates.push('unanswered');
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(10);
+    fixture.session.offer(buildStartOrder(1), 'dispatcher');
     for (let ms = 0; ms < 200; ms += 5) {
-      await bench.clock.advance(5);
-      expect(bench.session.state).to.equal('ready');
+      await fixture.clock.advance(5);
+      expect(fixture.session.state).to.equal('ready');
     }
   });
 
   it('renews more often for a second after the answer to a renewal was lost', async () => {
-    await bench.start();
-    bench.upstream.lostRenewals = 1;
-    await bench.clock.advance(300);
-    const before = bench.upstream.renewals;
-    await bench.clock.advance(400);
-    expect(bench.upstream.renewals - before).to.be.within(8, 14);
-    await bench.clock.advance(1_000);
-    const later = bench.upstream.renewals;
-    await bench.clock.advance(400);
-    expect(bench.upstream.renewals - later).to.be.within(2, 4);
+    await fixture.start();
+    fixture.upstream.lostRenewals = 1;
+    await fixture.clock.advance(300);
+    const before = fixture.upstream.renewals;
+    await fixture.clock.advance(400);
+    expect(fixture.upstream.renewals - before).to.be.within(8, 14);
+    await fixture.clock.advance(1_000);
+    const later = fixture.upstream.renewals;
+    await fixture.clock.advance(400);
+    expect(fixture.upstream.renewals - later).to.be.within(2, 4);
   });
 
   it('repeats a start soon if answers usually arrive immediately', async () => {
-    await bench.start();
-    bench.upstream.taskMs = 30;
-    for (let index = 0; index < 4; index += 1) bench.session.offer(buildStartOrder(index), 'entry');
-    await bench.clock.advance(100);
-    bench.upstream.fates.push('lost');
-    bench.session.offer(buildStartOrder(9), 'entry');
-    await bench.clock.advance(60);
-    expect(bench.upstream.starts).to.equal(5);
+    await fixture.start();
+    fixture.upstream.taskMs = 30;
+    for (let index = 0; index < 4; index += 1) fixture.session.offer(buildStartOrder(index), 'dispatcher');
+    await fixture.clock.advance(100);
+    fixture.upstream.fates.push('lost');
+    fixture.session.offer(buildStartOrder(9), 'dispatcher');
+    await fixture.clock.advance(60);
+    expect(fixture.upstream.starts).to.equal(5);
   });
 
   it('stops the runs of an earlier executor incarnation before it takes work', async () => {
-    bench.upstream.taskMs = 5_000;
-    bench.upstream.leaseUntil = bench.upstream.clockMs + 1_000;
-    bench.upstream.beginForeign({ job: 'old', step: 0, index: 0, run: 3 });
-    bench.upstream.fates.push('lost');
-    void bench.session.run();
-    await bench.clock.settle();
-    expect(bench.session.state).to.equal('joining');
-    expect([...bench.upstream.running.keys()]).to.deep.equal(['old/0/0']);
-    await bench.clock.advance(100);
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(100);
-    expect(bench.session.state).to.equal('ready');
-    expect([...bench.upstream.running.keys()]).to.deep.equal(['job/0/0']);
+    fixture.upstream.taskMs = 5_000;
+    fixture.upstream.leaseUntil = fixture.upstream.clockMs + 1_000;
+    fixture.upstream.beginForeign({ job: 'old', step: 0, index: 0, run: 3 });
+    fixture.upstream.fates.push('lost');
+    void fixture.session.run();
+    await fixture.clock.settle();
+    expect(fixture.session.state).to.equal('joining');
+    expect([...fixture.upstream.running.keys()]).to.deep.equal(['old/0/0']);
+    await fixture.clock.advance(100);
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(100);
+    expect(fixture.session.state).to.equal('ready');
+    expect([...fixture.upstream.running.keys()]).to.deep.equal(['job/0/0']);
   });
 
   it('uses a higher run number for a task that an earlier executor incarnation has run', async () => {
-    bench.upstream.leaseUntil = bench.upstream.clockMs + 1_000;
-    bench.upstream.beginForeign({ job: 'job', step: 0, index: 0, run: 7 });
-    await bench.start();
-    await bench.clock.advance(200);
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(200);
-    expect(bench.results).to.deep.equal(['0 done done']);
-    expect(bench.upstream.doubled).to.equal(0);
+    fixture.upstream.leaseUntil = fixture.upstream.clockMs + 1_000;
+    fixture.upstream.beginForeign({ job: 'job', step: 0, index: 0, run: 7 });
+    await fixture.start();
+    await fixture.clock.advance(200);
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(200);
+    expect(fixture.results).to.deep.equal(['0 done done']);
+    expect(fixture.upstream.doubled).to.equal(0);
   });
 
   it('raises its fencing token above the one of the upstream', async () => {
-    bench.upstream.token = FIRST_TOKEN + 2_500;
-    await bench.start();
-    await bench.clock.advance(300);
-    expect(bench.session.state).to.equal('ready');
-    expect(bench.upstream.token).to.be.greaterThan(FIRST_TOKEN + 2_500);
+    fixture.upstream.token = FIRST_TOKEN + 2_500;
+    await fixture.start();
+    await fixture.clock.advance(300);
+    expect(fixture.session.state).to.equal('ready');
+    expect(fixture.upstream.token).to.be.greaterThan(FIRST_TOKEN + 2_500);
   });
 
   it('fences off a delayed start whose task has been finished as lost', async () => {
-    await bench.start();
-    bench.upstream.lateMs = 3_000;
-    bench.upstream.fates.push('late');
-    bench.session.offer(buildStartOrder(0), 'entry');
-    bench.upstream.silent = true;
-    await bench.clock.advance(2_000);
-    expect(bench.results).to.deep.equal(['0 lost start-unanswered']);
-    bench.upstream.silent = false;
-    await bench.clock.advance(1_500);
-    expect(bench.upstream.starts).to.equal(0);
-    expect(bench.session.state).to.equal('ready');
+    await fixture.start();
+    fixture.upstream.lateMs = 3_000;
+    fixture.upstream.fates.push('late');
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    fixture.upstream.silent = true;
+    await fixture.clock.advance(2_000);
+    expect(fixture.results).to.deep.equal(['0 lost start-unanswered']);
+    fixture.upstream.silent = false;
+    await fixture.clock.advance(1_500);
+    expect(fixture.upstream.starts).to.equal(0);
+    expect(fixture.session.state).to.equal('ready');
   });
 
   it('takes no work while the upstream drains, and lets running tasks end', async () => {
-    await bench.start();
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(10);
-    bench.session.update(
-      buildUpstreamReport({ clockMs: bench.upstream.clockMs, isDraining: true, sequence: 2 }),
+    await fixture.start();
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(10);
+    fixture.session.update(
+      buildUpstreamReport({ clockMs: fixture.upstream.clockMs, isDraining: true, sequence: 2 }),
     );
-    bench.session.offer(buildStartOrder(1), 'entry');
-    await bench.clock.advance(200);
-    bench.session.startWaitingTasks();
-    expect(bench.results).to.have.members(['0 done done', '1 not-run full']);
+    fixture.session.offer(buildStartOrder(1), 'dispatcher');
+    await fixture.clock.advance(200);
+    fixture.session.startWaitingTasks();
+    expect(fixture.results).to.have.members(['0 done done', '1 not-run full']);
   });
 
   it('waits for running tasks to end after the upstream has announced its shutdown', async () => {
-    await bench.start();
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(20);
-    bench.session.leave();
-    expect(bench.results).to.deep.equal([]);
-    expect(bench.session.state).to.equal('draining');
-    await bench.clock.advance(200);
-    expect(bench.results).to.deep.equal(['0 done done']);
-    expect(bench.session.isClosed).to.equal(true);
+    await fixture.start();
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(20);
+    fixture.session.leave();
+    expect(fixture.results).to.deep.equal([]);
+    expect(fixture.session.state).to.equal('draining');
+    await fixture.clock.advance(200);
+    expect(fixture.results).to.deep.equal(['0 done done']);
+    expect(fixture.session.isClosed).to.equal(true);
   });
 
   it('closes when an upstream without tasks announces its shutdown', async () => {
-    await bench.start();
-    bench.session.leave();
-    expect(bench.session.isClosed).to.equal(true);
+    await fixture.start();
+    fixture.session.leave();
+    expect(fixture.session.isClosed).to.equal(true);
   });
 
   it('becomes suspect and limits starts if all tasks fail', async () => {
-    await bench.start();
-    bench.upstream.fails = true;
+    await fixture.start();
+    fixture.upstream.fails = true;
     for (let index = 0; index < 8; index += 1) {
-      bench.session.offer(
+      fixture.session.offer(
         buildStartOrder(index, { name: { job: `j${index}`, step: 0, index, attempt: 1 } }),
-        'entry',
+        'dispatcher',
       );
-      await bench.clock.advance(10);
+      await fixture.clock.advance(10);
     }
-    expect(bench.session.readHealth()).to.equal('suspect');
-    expect(bench.upstream.starts).to.be.lessThan(6);
+    expect(fixture.session.readHealth()).to.equal('suspect');
+    expect(fixture.upstream.starts).to.be.lessThan(6);
   });
 
   it('reports a speed near 0 while tasks are stalled', async () => {
-    await bench.start();
-    bench.upstream.hangs = true;
-    bench.session.offer(buildStartOrder(0), 'entry');
-    await bench.clock.advance(500);
-    expect(bench.session.readSpeed()).to.be.lessThan(0.1);
+    await fixture.start();
+    fixture.upstream.hangs = true;
+    fixture.session.offer(buildStartOrder(0), 'dispatcher');
+    await fixture.clock.advance(500);
+    expect(fixture.session.readSpeed()).to.be.lessThan(0.1);
   });
 
   describe('reports for tasks of a lost upstream', () => {
     beforeEach(async () => {
-      await bench.start();
-      bench.upstream.hangs = true;
+      await fixture.start();
+      fixture.upstream.hangs = true;
     });
 
     it('a crash, if connections are refused after all leases have expired', async () => {
-      bench.session.offer(buildStartOrder(0), 'entry');
-      await bench.clock.advance(50);
-      bench.upstream.refuses = true;
-      await bench.clock.advance(1_400);
-      expect(bench.results).to.deep.equal(['0 lost upstream-crashed']);
+      fixture.session.offer(buildStartOrder(0), 'dispatcher');
+      await fixture.clock.advance(50);
+      fixture.upstream.refuses = true;
+      await fixture.clock.advance(1_400);
+      expect(fixture.results).to.deep.equal(['0 lost upstream-crashed']);
     });
 
     it('a crash, even if the task was being stopped', async () => {
-      bench.session.offer(buildStartOrder(0), 'entry');
-      await bench.clock.advance(50);
-      bench.upstream.refuses = true;
-      bench.session.stop('job/0/0', 1, 'entry', 'moved');
-      await bench.clock.advance(1_400);
-      expect(bench.results).to.deep.equal(['0 lost upstream-crashed']);
+      fixture.session.offer(buildStartOrder(0), 'dispatcher');
+      await fixture.clock.advance(50);
+      fixture.upstream.refuses = true;
+      fixture.session.stop('job/0/0', 1, 'dispatcher', 'moved');
+      await fixture.clock.advance(1_400);
+      expect(fixture.results).to.deep.equal(['0 lost upstream-crashed']);
     });
 
     it('a crash, if another incarnation answers', async () => {
-      bench.session.offer(buildStartOrder(0), 'entry');
-      await bench.clock.advance(50);
-      bench.upstream.isReplaced = true;
-      await bench.clock.advance(300);
-      expect(bench.results).to.deep.equal(['0 lost upstream-crashed']);
+      fixture.session.offer(buildStartOrder(0), 'dispatcher');
+      await fixture.clock.advance(50);
+      fixture.upstream.isReplaced = true;
+      await fixture.clock.advance(300);
+      expect(fixture.results).to.deep.equal(['0 lost upstream-crashed']);
     });
 
     it('no crash for a task whose only start another incarnation has refused', async () => {
-      bench.upstream.isReplaced = true;
-      bench.session.offer(buildStartOrder(0), 'entry');
-      await bench.clock.advance(300);
-      expect(bench.results).to.deep.equal(['0 lost other-life']);
+      fixture.upstream.isReplaced = true;
+      fixture.session.offer(buildStartOrder(0), 'dispatcher');
+      await fixture.clock.advance(300);
+      expect(fixture.results).to.deep.equal(['0 lost other-life']);
     });
 
     it('an unreachable upstream, if it does not answer', async () => {
-      bench.session.offer(buildStartOrder(0), 'entry');
-      await bench.clock.advance(50);
-      bench.upstream.silent = true;
-      await bench.clock.advance(1_400);
-      expect(bench.results).to.deep.equal(['0 lost unreachable']);
+      fixture.session.offer(buildStartOrder(0), 'dispatcher');
+      await fixture.clock.advance(50);
+      fixture.upstream.silent = true;
+      await fixture.clock.advance(1_400);
+      expect(fixture.results).to.deep.equal(['0 lost unreachable']);
     });
 
     it('no crash, if the upstream had announced its shutdown', async () => {
-      bench.session.offer(buildStartOrder(0), 'entry');
-      await bench.clock.advance(50);
-      bench.session.leave();
-      bench.upstream.isReplaced = true;
-      await bench.clock.advance(300);
-      expect(bench.results).to.deep.equal(['0 lost other-life']);
+      fixture.session.offer(buildStartOrder(0), 'dispatcher');
+      await fixture.clock.advance(50);
+      fixture.session.leave();
+      fixture.upstream.isReplaced = true;
+      await fixture.clock.advance(300);
+      expect(fixture.results).to.deep.equal(['0 lost other-life']);
     });
 
     it('no crash for a task whose starts were all refused', async () => {
-      bench.upstream.refuses = true;
-      bench.session.offer(buildStartOrder(0), 'entry');
-      await bench.clock.advance(1_400);
-      expect(bench.results).to.deep.equal(['0 lost start-unanswered']);
+      fixture.upstream.refuses = true;
+      fixture.session.offer(buildStartOrder(0), 'dispatcher');
+      await fixture.clock.advance(1_400);
+      expect(fixture.results).to.deep.equal(['0 lost start-unanswered']);
     });
   });
 
   describe('when its capacity changes', () => {
     beforeEach(async () => {
-      await bench.start();
-      bench.upstream.taskMs = 500;
+      await fixture.start();
+      fixture.upstream.taskMs = 500;
     });
 
     it('starts waiting tasks as soon as they fit, and reports the change', async () => {
-      bench.offer(0, 4);
-      await bench.clock.advance(2);
-      bench.report(5, 2);
-      await bench.clock.advance(5);
-      expect(bench.upstream.running.size).to.equal(5);
-      expect([bench.capacityChanges, bench.results]).to.deep.equal([1, []]);
+      fixture.offer(0, 4);
+      await fixture.clock.advance(2);
+      fixture.report(5, 2);
+      await fixture.clock.advance(5);
+      expect(fixture.upstream.running.size).to.equal(5);
+      expect([fixture.capacityChanges, fixture.results]).to.deep.equal([1, []]);
     });
 
     it('starts nothing while running tasks exceed the capacity, and lets them end', async () => {
-      bench.offer(0, 3);
-      await bench.clock.advance(20);
-      bench.report(2, 2);
-      expect(bench.session.free.cpuMilli).to.equal(-2_000);
-      bench.session.stop('job/0/0', 1, 'entry', 'stopped-by-entry');
-      bench.offer(4, 4);
-      await bench.clock.advance(200);
-      expect(bench.upstream.starts).to.equal(4);
-      await bench.clock.advance(600);
-      bench.offer(5, 7);
-      await bench.clock.advance(20);
-      expect(bench.upstream.running.size).to.equal(2);
-      expect(bench.results).to.have.members([
+      fixture.offer(0, 3);
+      await fixture.clock.advance(20);
+      fixture.report(2, 2);
+      expect(fixture.session.free.cpuMilli).to.equal(-2_000);
+      fixture.session.stop('job/0/0', 1, 'dispatcher', 'stopped-by-entry');
+      fixture.offer(4, 4);
+      await fixture.clock.advance(200);
+      expect(fixture.upstream.starts).to.equal(4);
+      await fixture.clock.advance(600);
+      fixture.offer(5, 7);
+      await fixture.clock.advance(20);
+      expect(fixture.upstream.running.size).to.equal(2);
+      expect(fixture.results).to.have.members([
         '0 stopped stopped-by-entry',
         '1 done done',
         '2 done done',
@@ -417,41 +417,41 @@
     });
 
     it('returns waiting tasks that no longer fit at once', () => {
-      bench.offer(0, 4);
-      bench.report(3, 2);
-      expect(bench.results).to.deep.equal(['4 not-run full']);
-      expect(bench.capacityChanges).to.equal(1);
+      fixture.offer(0, 4);
+      fixture.report(3, 2);
+      expect(fixture.results).to.deep.equal(['4 not-run full']);
+      expect(fixture.capacityChanges).to.equal(1);
     });
 
     it('keeps tasks waiting that may still fit', () => {
-      bench.offer(0, 2);
+      fixture.offer(0, 2);
       for (const [index, cpuMilli] of [2_000, 3_500].entries()) {
         const resources = { ...UPSTREAM_CAPACITY, memoryMb: 10, cpuMilli };
-        bench.session.offer(buildStartOrder(index + 3, { resources }), 'entry');
+        fixture.session.offer(buildStartOrder(index + 3, { resources }), 'dispatcher');
       }
-      bench.report(3, 2);
-      expect(bench.results).to.deep.equal(['4 not-run full']);
-      expect(bench.session.listHeld('entry')).to.have.length(4);
+      fixture.report(3, 2);
+      expect(fixture.results).to.deep.equal(['4 not-run full']);
+      expect(fixture.session.listHeld('dispatcher')).to.have.length(4);
     });
 
     it('does not repeat an unanswered start while the started tasks exceed the capacity', async () => {
-      bench.upstream.fates.push('lost');
-      bench.offer(0, 3);
-      bench.report(3, 2);
-      await bench.clock.advance(400);
-      expect(bench.upstream.starts).to.equal(3);
-      expect(bench.results).to.include('0 not-run full');
+      fixture.upstream.fates.push('lost');
+      fixture.offer(0, 3);
+      fixture.report(3, 2);
+      await fixture.clock.advance(400);
+      expect(fixture.upstream.starts).to.equal(3);
+      expect(fixture.results).to.include('0 not-run full');
     });
 
     it('uses the newest report, even if an earlier one arrives later', async () => {
-      bench.report(1, 5);
-      bench.report(4, 4);
-      bench.offer(0, 3);
-      await bench.clock.advance(5);
-      expect(bench.upstream.starts).to.equal(1);
-      bench.report(4, 6);
-      await bench.clock.advance(5);
-      expect(bench.upstream.starts).to.equal(4);
+      fixture.report(1, 5);
+      fixture.report(4, 4);
+      fixture.offer(0, 3);
+      await fixture.clock.advance(5);
+      expect(fixture.upstream.starts).to.equal(1);
+      fixture.report(4, 6);
+      await fixture.clock.advance(5);
+      expect(fixture.upstream.starts).to.equal(4);
     });
 
     it('never exceeds the newest capacity, however it changes while starts are in flight', async () => {
@@ -463,7 +463,7 @@
         fc.array(change, { maxLength: 12 }),
         fates,
         async (changes, drawn) => {
-          const one = new Bench();
+          const one = new Fixture();
           await one.start();
           one.upstream.taskMs = 80;
           one.upstream.fates.push(...drawn);
--- a/src/process/executor/UpstreamSession.ts
+++ b/src/process/executor/UpstreamSession.ts
@@ -158,6 +158,7 @@
     return this.reportedDescription;
   }
 
+  /** False from when all leases have expired without an answer until the next answer to a renewal. */
   get isReachable(): boolean {
     return this.reachable;
   }
@@ -173,6 +174,7 @@
     return subtractResources(this.report.capacity, this.used);
   }
 
+  /** State to report to dispatchers. */
   get state(): UpstreamState {
     if (this.isOver || !this.reachable) return 'absent';
     if (this.report.isDraining || this.leaving) return 'draining';
@@ -281,7 +283,7 @@
     return true;
   }
 
-  /** Stops all tasks ordered by a dispatcher, and returns their number. */
+  /** Stops all tasks ordered by a dispatcher; returns how many of them were not being stopped already. */
   stopOwner(owner: string, reason: string): number {
     const held = this.listHeld(owner).filter(({ phase }) => phase !== 'stopping');
     for (const task of held) {
@@ -433,7 +435,7 @@
     this.events.change();
   }
 
-  /** Finishes all tasks as lost. */
+  /** Finishes all tasks as lost, by a crash of the upstream unless its shutdown was announced or it may still run. */
   private finishAllAsLost(reason: string, error: unknown): void {
     const isPlanned = this.leaving || this.report.isDraining;
     const crashed = !isPlanned && isCrash(reason, error);
@@ -503,8 +505,8 @@
     this.used = subtractResources(this.used, task.order.resources);
     if (end === 'done') this.healthMeter.recordSuccess();
     if (end === 'failed') this.recordFailure(task, now);
-    const isStopReason = task.stopReason !== '' && reason !== UPSTREAM_CRASHED;
-    this.events.finish(task, end, isStopReason ? task.stopReason : reason);
+    const usesStopReason = task.stopReason !== '' && reason !== UPSTREAM_CRASHED;
+    this.events.finish(task, end, usesStopReason ? task.stopReason : reason);
     this.events.change();
     if (this.isOver) return;
     if (this.leaving && this.load === 0) this.close('left');
--- a/src/process/executor/WaitingStarts.ts
+++ b/src/process/executor/WaitingStarts.ts
@@ -25,7 +25,7 @@
 
   /** Adds a start after those of the same rank. */
   add(task: LocalTask): void {
-    const at = this.tasks.findIndex((one) => one.order.rank > task.order.rank);
+    const at = this.tasks.findIndex((waiting) => waiting.order.rank > task.order.rank);
     this.tasks.splice(at < 0 ? this.tasks.length : at, 0, task);
   }
 
--- a/src/process/executor/divideCapacity.ts
+++ b/src/process/executor/divideCapacity.ts
@@ -11,7 +11,7 @@
 /**
  * Divides free capacity among dispatchers, so that the used and free capacity of each comes as close as
  * possible to its proportion of the demand. Shares are multiples of the task size (largest remainder method);
- * the rest is added to the largest share. Dispatchers without demand get nothing.
+ * the remainder below one task is added to the largest share. Dispatchers without demand get nothing.
  *
  * @param free - capacity to divide, thousandths of a core
  * @param unit - size of a task, thousandths of a core
@@ -33,11 +33,11 @@
   exact.forEach((share, at) => (taskCounts[at] = Math.floor(share)));
   const order = claims.map((_, at) => at).filter((at) => (deficits[at] ?? 0) > 0);
   order.sort((left, right) => compareRemainders(left, right));
-  let left = units - taskCounts.reduce((sum, count) => sum + count, 0);
+  let unassigned = units - taskCounts.reduce((sum, count) => sum + count, 0);
   for (const at of order) {
-    if (left <= 0) break;
+    if (unassigned <= 0) break;
     taskCounts[at] = (taskCounts[at] ?? 0) + 1;
-    left -= 1;
+    unassigned -= 1;
   }
   const shares = taskCounts.map((count) => count * unit);
   const rest = free - units * unit;
@@ -48,12 +48,12 @@
   shares[largest] = (shares[largest] ?? 0) + rest;
   return shares;
 
-  function compareRemainders(one: number, other: number): number {
-    const difference = findRemainder(other) - findRemainder(one);
+  function compareRemainders(first: number, second: number): number {
+    const difference = findRemainder(second) - findRemainder(first);
     if (Math.abs(difference) > 1e-9) return difference;
-    const byDeficit = (deficits[other] ?? 0) - (deficits[one] ?? 0);
+    const byDeficit = (deficits[second] ?? 0) - (deficits[first] ?? 0);
     if (byDeficit !== 0) return byDeficit;
-    return Number(claims[other]?.isPreferred) - Number(claims[one]?.isPreferred) || one - other;
+    return Number(claims[second]?.isPreferred) - Number(claims[first]?.isPreferred) || first - second;
   }
 
   function findRemainder(at: number): number {
--- a/src/process/executor/executorMetrics.ts
+++ b/src/process/executor/executorMetrics.ts
@@ -22,7 +22,7 @@
 export function buildExecutorMetrics({
   readLoad,
   readKeptVersion,
-  readWaitingDispatchers: readWaitingDispatchers,
+  readWaitingDispatchers,
   readDemand,
 }: ExecutorGauges): Readonly<Record<string, MetricDefinition>> {
   return {
--- a/src/process/executor/localTask.ts
+++ b/src/process/executor/localTask.ts
@@ -42,7 +42,10 @@
   run: number;
   /** When the first start was sent; undefined before. */
   sentAt: number | undefined;
-  /** Number of sends of the start that may have been executed: those whose connection was not refused. */
+  /**
+   * Number of sends of the start that may have been executed: all but those whose connection was refused or
+   * that another incarnation rejected.
+   */
   openSends: number;
   /** When the upstream confirmed the start, or first listed the run. */
   confirmedAt: number | undefined;
@@ -97,7 +100,7 @@
 }
 
 /**
- * Checks whether a task is a certain attempt of a dispatcher.
+ * Checks whether a task is the given attempt of a dispatcher.
  *
  * @param task - the task
  * @param key - key of the task
