--- a/src/process/executor/AnswerMonitor.ts
+++ b/src/process/executor/AnswerMonitor.ts
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Records a timeout. It counts towards `isAnswering`, and lengthens the answer timeout, only if no other call
-   * has been answered since the call was sent.
+   * Records a timeout. It affects `isAnswering` and the answer timeout only if no other call was answered
+   * since the call was sent.
    */
   recordTimeout(sentAt: number, now: number): void {
     this.timedOutAt = now;
--- a/src/process/executor/CapacityReportLimiter.ts
+++ b/src/process/executor/CapacityReportLimiter.ts
@@ -1,7 +1,7 @@
 /**
  * Limits the rate at which changes of capacity are reported on a link. As all work of the executor changes
- * its capacity, the interval grows with the number of links to report on. It also doubles with each late pong of a
- * congested dispatcher or link, and shrinks by a tenth with each timely one.
+ * its capacity, the interval grows with the number of links to report on. It also doubles with each late pong
+ * of a congested dispatcher or link, and shrinks by a tenth with each timely one.
  */
 
 /** Shortest delay of a report, in which changes are combined, ms. */
--- a/src/process/executor/CapacityShares.ts
+++ b/src/process/executor/CapacityShares.ts
@@ -16,7 +16,7 @@
 const UNUSED_TIMEOUT_MS = 30;
 /** Time for which the expected starts of other dispatchers are reserved, ms. */
 const FORECAST_MS = 40;
-/** Minimum number of tasks reserved for a dispatcher with recent starts, as the tasks of a job arrive together. */
+/** Minimum number of tasks reserved for a dispatcher with recent starts; tasks of a job arrive together. */
 const RESERVED_TASKS = 1;
 /** Limit of the demand counted for a dispatcher, in tasks; it may send to other executors as well. */
 const MAX_COUNTED_TASKS = 4;
@@ -135,8 +135,8 @@
 
   /**
    * Checks whether a share is to be reported before the next ping: because tasks wait at the dispatcher and
-   * its share has grown, or because its reported share exceeds the free capacity while tasks wait at more than
-   * one dispatcher.
+   * its share has grown, or because its reported share exceeds the free capacity while tasks wait at several
+   * dispatchers.
    */
   isDue(dispatcher: string, free: number, dispatchers: readonly DispatcherUsage[], now: number): boolean {
     const { waiting, reported, reportedAt } = this.findOrAdd(dispatcher);
--- a/src/process/executor/DispatcherLinks.test.ts
+++ b/src/process/executor/DispatcherLinks.test.ts
@@ -15,7 +15,7 @@
 /** Long enough that only the first ping of a link is due during a test. */
 const PING_MS = 600_000;
 /** Longer than any delay of a capacity report. */
-const QUIET_MS = 150;
+const MAX_REPORT_DELAY_MS = 150;
 
 const CAPACITY: CapacityReport = {
   description: undefined,
@@ -69,7 +69,7 @@
     wake();
   }
 
-  /** Waits until the dispatcher has received a message of a type, or the executor a pong (`pong-received`). */
+  /** Waits for a message of a type at the dispatcher; `pong-received` is a pong at the executor. */
   async function waitFor(type: string): Promise<void> {
     while (!received.includes(type)) await new Promise<void>((resolve) => (wake = resolve));
   }
@@ -126,7 +126,7 @@
 
   it('defers the capacity report to the next ping if no tasks wait', async () => {
     links.scheduleCapacityReports();
-    await sleep(QUIET_MS);
+    await sleep(MAX_REPORT_DELAY_MS);
     expect(received).to.not.include('room');
   });
 
@@ -143,7 +143,7 @@
     await waitFor('pong-received');
     received.length = 0;
     links.scheduleCapacityReports();
-    await sleep(QUIET_MS);
+    await sleep(MAX_REPORT_DELAY_MS);
     expect(received).to.not.include('room');
   });
 
@@ -165,7 +165,7 @@
     await waitFor('ping');
     skippedMs += PING_MS * 1.5;
     links.sendDuePings();
-    await sleep(QUIET_MS);
+    await sleep(MAX_REPORT_DELAY_MS);
     expect(received).to.include('agent-hello');
   });
 
@@ -175,7 +175,7 @@
     await waitFor('pong-received');
     received.length = 0;
     links.updateLinks();
-    await sleep(QUIET_MS);
+    await sleep(MAX_REPORT_DELAY_MS);
     expect(received).to.not.include('agent-hello');
   });
 });
--- a/src/process/executor/Executor.test.ts
+++ b/src/process/executor/Executor.test.ts
@@ -138,7 +138,7 @@
     expect(executor.takeCapacityChange(DISPATCHER)?.description?.upstream).to.equal('u2');
   });
 
-  it('rejects new work on a retiring link, and continues to run held attempts', async () => {
+  it('reports on a retiring link that it drains, and keeps the attempts held for it', async () => {
     upstream.taskMs = 400;
     executor.handleStart(DISPATCHER, ORDER);
     await clock.advance(20);
--- a/src/process/executor/Executor.ts
+++ b/src/process/executor/Executor.ts
@@ -159,10 +159,10 @@
   }
 
   /**
-   * Handles the announcement of an upstream that it shuts down.
+   * Handles a shutdown announcement of an upstream.
    *
    * @param upstreamId - id of the upstream
-   * @param bornAt - start of its incarnation; undefined if not reported
+   * @param bornAt - start of its incarnation; undefined for all incarnations with this id
    */
   handleLeave(upstreamId: string, bornAt: number | undefined): void {
     this.incarnations.handleLeave(upstreamId, bornAt);
@@ -402,7 +402,7 @@
     return usage;
   }
 
-  /** Lists the progress of a dispatcher's attempts that are stalled or at a slow upstream: it moves no others. */
+  /** Lists the progress of a dispatcher's attempts that are stalled or slow; it moves no others. */
   private listProgress(dispatcher: string): AttemptProgress[] {
     const now = this.clock.now();
     const typicalSpeed = this.liveness.get(dispatcher)?.typicalSpeed ?? 1;
@@ -560,7 +560,7 @@
     const now = this.clock.now();
     const liveness = this.findLiveness(dispatcher, -Infinity);
     const { results } = liveness;
-    // The dispatcher counts the capacity of an ended attempt as free until the next report, which is therefore
+    // The dispatcher counts the capacity of an ended attempt as free until the next report, so that one is
     // sent even if nothing has changed.
     liveness.reported = { ...liveness.reported, capacity: '' };
     while (results[0] && now - results[0].at > RESULT_RETENTION_MS) results.shift();
--- a/src/process/executor/HealthMeter.ts
+++ b/src/process/executor/HealthMeter.ts
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Records a failed task. It is not counted if its job is the one of the last counted failure, as the job itself
+   * Records a failed task. It is ignored if its job is that of the last counted failure, as the job itself
    * may be the cause.
    *
    * @returns whether the upstream has just become suspect
--- a/src/process/executor/RunLists.ts
+++ b/src/process/executor/RunLists.ts
@@ -10,7 +10,7 @@
 import type { RunHistory } from './RunHistory.js';
 
 /** Callbacks to the session. */
-export interface ListHost {
+export interface RunListCallbacks {
   /** Called when the upstream has started a task. */
   readonly confirm: (task: LocalTask, now: number) => void;
   readonly recordProgress: (task: LocalTask, percent: number, now: number) => void;
@@ -26,12 +26,12 @@
   /**
    * @param tasks - tasks that may run there, by key
    * @param runs - run numbers at this incarnation
-   * @param host - callbacks to the session
+   * @param callbacks - callbacks to the session
    */
   constructor(
     private readonly tasks: ReadonlyMap<string, LocalTask>,
     private readonly runs: RunHistory,
-    private readonly host: ListHost,
+    private readonly callbacks: RunListCallbacks,
   ) {}
 
   /** Sequence number up to which ends have been applied. */
@@ -61,8 +61,8 @@
     this.runs.record(key, ended.name.run);
     const task = this.tasks.get(key);
     if (!task || task.run !== ended.name.run) return;
-    if (ended.end === 'done') this.host.recordProgress(task, 100, now);
-    this.host.finish(task, convertRunEnd(ended.end), ended.end);
+    if (ended.end === 'done') this.callbacks.recordProgress(task, 100, now);
+    this.callbacks.finish(task, convertRunEnd(ended.end), ended.end);
   }
 
   /** Records progress, and stops unknown runs; returns the number of unknown runs. */
@@ -71,12 +71,12 @@
     for (const { name, percent } of running) {
       const task = this.tasks.get(buildTaskKey(name));
       if (task && task.run === name.run) {
-        if (task.phase === 'starting') this.host.confirm(task, now);
-        this.host.recordProgress(task, percent, now);
+        if (task.phase === 'starting') this.callbacks.confirm(task, now);
+        this.callbacks.recordProgress(task, percent, now);
       } else {
         unknown += 1;
         this.runs.record(buildTaskKey(name), name.run);
-        this.host.stopUnknown(name);
+        this.callbacks.stopUnknown(name);
       }
     }
     return unknown;
@@ -93,7 +93,7 @@
       const since = task.phase === 'stopping' ? task.stopAcceptedAt : task.confirmedAt;
       if (task.phase === 'starting' || since === undefined || since >= sentAt) continue;
       const ran = task.confirmedAt !== undefined;
-      this.host.finish(task, ran ? 'stopped' : 'not-run', 'not-listed');
+      this.callbacks.finish(task, ran ? 'stopped' : 'not-run', 'not-listed');
     }
   }
 }
--- a/src/process/executor/RunOrders.ts
+++ b/src/process/executor/RunOrders.ts
@@ -25,7 +25,7 @@
 const MAX_START_SENDS = 4;
 
 /** Callbacks to the session. */
-export interface OrderHost {
+export interface RunOrderCallbacks {
   /** Whether nothing more may be sent to this incarnation. */
   readonly isOver: () => boolean;
   readonly isReachable: () => boolean;
@@ -51,32 +51,32 @@
    * @param calls - calls to the upstream
    * @param runs - run numbers at this incarnation
    * @param clock - clock of this process
-   * @param host - callbacks to the session
+   * @param callbacks - callbacks to the session
    */
   constructor(
     private readonly calls: UpstreamCalls,
     private readonly runs: RunHistory,
     private readonly clock: Clock,
-    private readonly host: OrderHost,
+    private readonly callbacks: RunOrderCallbacks,
   ) {}
 
   /** Sends a start until it is settled, and withdraws it if it is not settled by the last send. */
   async start(task: LocalTask): Promise<void> {
-    for (let sends = 0; task.phase === 'starting' && !this.host.isOver(); sends += 1) {
-      if (sends >= MAX_START_SENDS) return this.host.withdraw(task, 'start-unanswered');
+    for (let sends = 0; task.phase === 'starting' && !this.callbacks.isOver(); sends += 1) {
+      if (sends >= MAX_START_SENDS) return this.callbacks.withdraw(task, 'start-unanswered');
       task.openSends += 1;
       try {
         const verdict = await this.calls.start(buildRunName(task), task.order.spec);
-        if (task.phase !== 'starting' || this.host.isOver()) return;
+        if (task.phase !== 'starting' || this.callbacks.isOver()) return;
         if (verdict === 'superseded' && sends > 0) await this.waitForRenewal();
-        if (task.phase !== 'starting' || this.host.isOver()) return;
+        if (task.phase !== 'starting' || this.callbacks.isOver()) return;
         if (this.settleStart(task, verdict)) return;
       } catch (error) {
         if (error instanceof ConnectionRefusedError) task.openSends -= 1;
-        this.host.log('start-unanswered', { task: task.key, run: task.run, error: String(error) });
+        this.callbacks.log('start-unanswered', { task: task.key, run: task.run, error: String(error) });
       }
       await this.clock.sleep(REPEAT_PAUSE_MS);
-      this.host.revalidate(task);
+      this.callbacks.revalidate(task);
     }
   }
 
@@ -84,7 +84,7 @@
   private settleStart(task: LocalTask, verdict: StartVerdict): boolean {
     switch (verdict) {
       case 'started':
-        this.host.confirm(task);
+        this.callbacks.confirm(task);
         return true;
       case 'superseded':
         return this.settleSuperseded(task);
@@ -94,26 +94,26 @@
       case 'other-life':
         // Another incarnation has refused it, so this send cannot have started it here.
         task.openSends -= 1;
-        this.host.handleOtherIncarnation();
+        this.callbacks.handleOtherIncarnation();
         return true;
       case 'refused':
-        this.host.handleRefused(task);
-        this.host.withdraw(task, 'refused');
+        this.callbacks.handleRefused(task);
+        this.callbacks.withdraw(task, 'refused');
         return true;
       default:
-        this.host.withdraw(task, verdict);
+        this.callbacks.withdraw(task, verdict);
         return true;
     }
   }
 
   /**
-   * Handles the answer that a run with the same or a higher number has been stopped or has ended there. The end
-   * of this run would have been listed by the renewal that a repeated start waits for, so it was a run of an
+   * Handles the answer that a run with the same or a higher number was stopped or has ended there. An end of
+   * this run would have been listed by the renewal that a repeated start waits for, so it was a run of an
    * earlier executor incarnation: the task gets a higher run number.
    */
   private settleSuperseded(task: LocalTask): boolean {
     const next = this.runs.take(task.key);
-    this.host.log('run-superseded', { task: task.key, run: task.run, next });
+    this.callbacks.log('run-superseded', { task: task.key, run: task.run, next });
     task.run = next;
     return false;
   }
@@ -121,13 +121,13 @@
   /** Waits until a renewal sent from now on has been answered. */
   private async waitForRenewal(): Promise<void> {
     const since = this.clock.now();
-    while (!this.host.isOver() && this.host.isReachable() && this.calls.renewedAt <= since)
+    while (!this.callbacks.isOver() && this.callbacks.isReachable() && this.calls.renewedAt <= since)
       await this.clock.sleep(REPEAT_PAUSE_MS);
   }
 
   /** Repeats a stop until the end of the run is listed; waits while the upstream is unresponsive. */
   async stop(task: LocalTask): Promise<void> {
-    while (task.phase === 'stopping' && !this.host.isOver()) {
+    while (task.phase === 'stopping' && !this.callbacks.isOver()) {
       if (!this.calls.isAnswering) {
         await this.clock.sleep(ANSWER_POLL_MS);
         continue;
@@ -135,9 +135,9 @@
       try {
         const verdict = await this.calls.stop(buildRunName(task));
         if (verdict === 'accepted') task.stopAcceptedAt ??= this.clock.now();
-        if (verdict === 'other-life') return this.host.handleOtherIncarnation();
+        if (verdict === 'other-life') return this.callbacks.handleOtherIncarnation();
       } catch (error) {
-        this.host.log('stop-unanswered', { task: task.key, run: task.run, error: String(error) });
+        this.callbacks.log('stop-unanswered', { task: task.key, run: task.run, error: String(error) });
       }
       await this.clock.sleep(task.stopAcceptedAt === undefined ? REPEAT_PAUSE_MS : STOP_REPEAT_PAUSE_MS);
     }
@@ -145,10 +145,10 @@
 
   /** Stops a run that an earlier incarnation of this executor has started, to free its capacity. */
   stopUnknown(name: RunName): void {
-    this.host.log('stop-unknown', { job: name.job, index: name.index, run: name.run });
+    this.callbacks.log('stop-unknown', { job: name.job, index: name.index, run: name.run });
     this.calls.stop(name).catch((error: unknown) => {
       // If the run is still there, the next renewal lists it again.
-      this.host.log('stop-unanswered', { job: name.job, run: name.run, error: String(error) });
+      this.callbacks.log('stop-unanswered', { job: name.job, run: name.run, error: String(error) });
     });
   }
 }
--- a/src/process/executor/UpstreamCalls.ts
+++ b/src/process/executor/UpstreamCalls.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to one incarnation of one upstream. Starts and renewals carry the end of the lease; every call carries
- * the fencing token and has a timeout based on recent response times. Answers and timeouts update the clock estimate and the responsiveness of
- * the upstream.
+ * Calls to one incarnation of one upstream. Starts and renewals carry the end of the lease; all carry the
+ * fencing token, and have a timeout based on recent response times. Answers update the estimate of the
+ * upstream's clock; answers and timeouts show whether it is responsive.
  */
 import type { Clock } from '../../_lib/Clock.js';
 import type {
@@ -121,7 +121,7 @@
     try {
       const answer = await this.api.renew(renewal, waitMs + this.monitor.timeoutMs);
       this.handleRenewal(answer, sentAt, waitMs);
-      if (answer.verdict === 'fenced') this.raise(renewal.fencingToken);
+      if (answer.verdict === 'fenced') this.raiseToken(renewal.fencingToken);
       return answer;
     } catch (error) {
       this.handleTimeout(sentAt);
@@ -161,7 +161,7 @@
     try {
       const { verdict, clockMs } = await call();
       this.handleAnswer(sentAt, clockMs, true);
-      if (verdict === 'fenced') this.raise(token);
+      if (verdict === 'fenced') this.raiseToken(token);
       return verdict;
     } catch (error) {
       this.handleTimeout(sentAt);
@@ -180,7 +180,7 @@
    * Raises the token above a refused one, once for several refused calls: an earlier process has used a
    * higher one.
    */
-  private raise(from: number): void {
+  private raiseToken(from: number): void {
     if (from < this.fencingToken) return;
     this.fencingToken = this.tokens.takeAbove(from);
     this.events.raiseToken(from, this.fencingToken);
--- a/src/process/executor/UpstreamIncarnations.ts
+++ b/src/process/executor/UpstreamIncarnations.ts
@@ -89,7 +89,7 @@
       const reportedAt = this.reportedAt.get(session.name) ?? now;
       if (!session.isReachable && now - reportedAt > UPSTREAM_EXPIRY_MS) session.close('forgotten');
       const isNoneReachable = !this.listIncarnations(session.id).some(({ isReachable }) => isReachable);
-      if (session.isSuperseded && isNoneReachable) this.end(session);
+      if (session.isSuperseded && isNoneReachable) this.closeSuperseded(session);
     }
     for (const name of this.reportedAt.keys()) if (!this.sessions.has(name)) this.reportedAt.delete(name);
   }
@@ -179,17 +179,17 @@
     const others = this.list().filter((other) => other.id === session.id && other !== session);
     for (const other of others) {
       if (!other.isSuperseded) this.supersede(other, session);
-      else if ((other.supersededAt ?? sentAt) < sentAt) this.end(other);
+      else if ((other.supersededAt ?? sentAt) < sentAt) this.closeSuperseded(other);
     }
     return others.every(({ isClosed }) => isClosed);
   }
 
-  private end(session: UpstreamSession): void {
+  private closeSuperseded(session: UpstreamSession): void {
     session.close('superseded');
     this.removeClosed(session);
   }
 
-  /** Removes a closed session; a superseded one is kept, as its tasks still have to be finished. */
+  /** Removes a session if it is closed; a superseded one stays until its tasks have been finished. */
   private removeClosed(session: UpstreamSession): void {
     const { name } = session;
     if (session.isClosed && this.sessions.get(name) === session) this.sessions.delete(name);
--- a/src/process/executor/UpstreamSession.ts
+++ b/src/process/executor/UpstreamSession.ts
@@ -158,7 +158,7 @@
     return this.reportedDescription;
   }
 
-  /** False from when all leases have expired without an answer until the next answer to a renewal. */
+  /** False once all leases have expired without an answer, until a renewal is granted. */
   get isReachable(): boolean {
     return this.reachable;
   }
@@ -249,7 +249,7 @@
   }
 
   /**
-   * Handles the announcement of the upstream that it shuts down. Its tasks use capacity and may continue
+   * Handles a shutdown announcement of the upstream. Its tasks use capacity and may continue
    * until their end is listed or their lease expires, as the process still runs after the announcement.
    */
   leave(): void {
@@ -435,7 +435,7 @@
     this.events.change();
   }
 
-  /** Finishes all tasks as lost, by a crash of the upstream unless its shutdown was announced or it may still run. */
+  /** Finishes all tasks as lost; the reason is a crash only if the upstream did not announce its shutdown. */
   private finishAllAsLost(reason: string, error: unknown): void {
     const isPlanned = this.leaving || this.report.isDraining;
     const crashed = !isPlanned && isCrash(reason, error);
@@ -453,7 +453,7 @@
   }
 
   private startTask(task: LocalTask, now: number): void {
-    this.step(task, 'begin');
+    this.applyEvent(task, 'begin');
     task.sentAt = now;
     task.run = this.runs.take(task.key);
     this.tasks.set(task.key, task);
@@ -465,7 +465,7 @@
 
   private confirm(task: LocalTask, now: number): void {
     if (task.phase !== 'starting') return;
-    this.step(task, 'confirm');
+    this.applyEvent(task, 'confirm');
     task.confirmedAt = now;
     task.percentAt = now;
     task.sampledAt = now;
@@ -473,7 +473,7 @@
 
   private stopTask(task: LocalTask, reason: string): void {
     if (task.phase === 'stopping' || task.phase === 'ended') return;
-    this.step(task, 'stop');
+    this.applyEvent(task, 'stop');
     task.stopReason = reason;
     void this.orders.stop(task);
   }
@@ -499,7 +499,7 @@
   private finish(task: LocalTask, end: AttemptEnd, reason: string): void {
     if (task.phase === 'ended') return;
     const now = this.clock.now();
-    this.step(task, 'end');
+    this.applyEvent(task, 'end');
     this.tasks.delete(task.key);
     this.speedMeter.recordEnd(task.key, end === 'done', now);
     this.used = subtractResources(this.used, task.order.resources);
@@ -515,7 +515,7 @@
 
   private dropStart(task: LocalTask, reason: string): void {
     if (!this.waiting.remove(task)) return;
-    this.step(task, 'stop');
+    this.applyEvent(task, 'stop');
     this.events.finish(task, 'not-run', reason);
   }
 
@@ -524,7 +524,7 @@
     for (const task of this.waiting.list()) this.dropStart(task, reason);
   }
 
-  private step(task: LocalTask, event: LocalEvent): void {
+  private applyEvent(task: LocalTask, event: LocalEvent): void {
     task.phase = stepMachine(LOCAL_TASK_TABLE, task.phase, event);
   }
 }
--- a/src/process/executor/divideCapacity.test.ts
+++ b/src/process/executor/divideCapacity.test.ts
@@ -34,8 +34,8 @@
   it('divides all of it among dispatchers with demand, if there are any', () => {
     check((free, unit, claims) => {
       const shares = divideCapacity(free, unit, claims);
-      const isAsked = claims.some(({ demand }) => demand > 0);
-      expect(sum(shares)).to.equal(isAsked ? free : 0);
+      const hasDemand = claims.some(({ demand }) => demand > 0);
+      expect(sum(shares)).to.equal(hasDemand ? free : 0);
       claims.forEach(({ demand }, at) => demand === 0 && expect(shares[at]).to.equal(0));
     });
   });
--- a/src/process/executor/sessionEvents.ts
+++ b/src/process/executor/sessionEvents.ts
@@ -23,7 +23,7 @@
    * Returns whether no call intended for another incarnation can reach it any more.
    */
   readonly settle: (sentAt: number) => boolean;
-  /** Called when `settle` has returned true for the first time; the incarnation takes work once it is described. */
+  /** Called when `settle` first returns true; the incarnation takes work once it is described. */
   readonly join: () => void;
   /** Called when another incarnation answers under the same id. */
   readonly findOtherLife: (bornAt: number, clockMs: number) => void;
