--- a/src/process/executor/DispatcherLinks.test.ts
+++ b/src/process/executor/DispatcherLinks.test.ts
@@ -15,7 +15,7 @@
 /** Long enough that only the first ping of a link is due during a test. */
 const PING_MS = 600_000;
 /** Longer than any delay of a capacity report. */
-const QUIET_MS = 150;
+const MAX_REPORT_DELAY_MS = 150;
 
 const CAPACITY: CapacityReport = {
   description: undefined,
@@ -69,7 +69,7 @@
     wake();
   }
 
-  /** Waits until the dispatcher has received a message of a type, or the executor a pong (`echo`). */
+  /** Waits for a message of a type at the dispatcher; `pong-received` is a pong at the executor. */
   async function waitFor(type: string): Promise<void> {
     while (!received.includes(type)) await new Promise<void>((resolve) => (wake = resolve));
   }
@@ -99,7 +99,7 @@
       linkMbps: 1_000,
     };
     const log = (event: string): number => logged.push(event);
-    const executor = createExecutor(() => record('echo'));
+    const executor = createExecutor(() => record('pong-received'));
     const steady = new SteadyClock();
     const clock: Clock = {
       now: () => steady.now() + skippedMs,
@@ -126,7 +126,7 @@
 
   it('defers the capacity report to the next ping if no tasks wait', async () => {
     links.scheduleCapacityReports();
-    await sleep(QUIET_MS);
+    await sleep(MAX_REPORT_DELAY_MS);
     expect(received).to.not.include('room');
   });
 
@@ -140,10 +140,10 @@
     dispatcher.send({ type: 'demand' });
     await waitFor('room');
     dispatcher.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
-    await waitFor('echo');
+    await waitFor('pong-received');
     received.length = 0;
     links.scheduleCapacityReports();
-    await sleep(QUIET_MS);
+    await sleep(MAX_REPORT_DELAY_MS);
     expect(received).to.not.include('room');
   });
 
@@ -157,7 +157,7 @@
 
   it('dials again when a pong is overdue, before the tasks of the dispatcher are stopped', async () => {
     dispatcher.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
-    await waitFor('echo');
+    await waitFor('pong-received');
     received.length = 0;
     // The next ping gets no pong. Tasks are stopped three ping intervals after the last acknowledged ping.
     skippedMs += PING_MS;
@@ -165,17 +165,17 @@
     await waitFor('ping');
     skippedMs += PING_MS * 1.5;
     links.sendDuePings();
-    await sleep(QUIET_MS);
+    await sleep(MAX_REPORT_DELAY_MS);
     expect(received).to.include('agent-hello');
   });
 
   it('keeps a connection whose dispatcher has answered recently', async () => {
     skippedMs = 2_000;
     dispatcher.send({ type: 'pong', at: 0, version: -1, typicalSpeed: 1, isWaiting: false });
-    await waitFor('echo');
+    await waitFor('pong-received');
     received.length = 0;
     links.updateLinks();
-    await sleep(QUIET_MS);
+    await sleep(MAX_REPORT_DELAY_MS);
     expect(received).to.not.include('agent-hello');
   });
 });
--- a/src/process/executor/UpstreamSession.ts
+++ b/src/process/executor/UpstreamSession.ts
@@ -158,6 +158,7 @@
     return this.reportedDescription;
   }
 
+  /** False once all leases have expired without an answer, until a renewal is granted. */
   get isReachable(): boolean {
     return this.reachable;
   }
@@ -173,6 +174,7 @@
     return subtractResources(this.report.capacity, this.used);
   }
 
+  /** State to report to dispatchers. */
   get state(): UpstreamState {
     if (this.isOver || !this.reachable) return 'absent';
     if (this.report.isDraining || this.leaving) return 'draining';
@@ -247,7 +249,7 @@
   }
 
   /**
-   * Handles the announcement of the upstream that it shuts down. Its tasks use capacity and may continue
+   * Handles a shutdown announcement of the upstream. Its tasks use capacity and may continue
    * until their end is listed or their lease expires, as the process still runs after the announcement.
    */
   leave(): void {
@@ -281,7 +283,7 @@
     return true;
   }
 
-  /** Stops all tasks ordered by a dispatcher, and returns their number. */
+  /** Stops all tasks ordered by a dispatcher; returns how many of them were not being stopped already. */
   stopOwner(owner: string, reason: string): number {
     const held = this.listHeld(owner).filter(({ phase }) => phase !== 'stopping');
     for (const task of held) {
@@ -433,7 +435,7 @@
     this.events.change();
   }
 
-  /** Finishes all tasks as lost. */
+  /** Finishes all tasks as lost; the reason is a crash only if the upstream did not announce its shutdown. */
   private finishAllAsLost(reason: string, error: unknown): void {
     const isPlanned = this.leaving || this.report.isDraining;
     const crashed = !isPlanned && isCrash(reason, error);
@@ -451,7 +453,7 @@
   }
 
   private startTask(task: LocalTask, now: number): void {
-    this.step(task, 'begin');
+    this.applyEvent(task, 'begin');
     task.sentAt = now;
     task.run = this.runs.take(task.key);
     this.tasks.set(task.key, task);
@@ -463,7 +465,7 @@
 
   private confirm(task: LocalTask, now: number): void {
     if (task.phase !== 'starting') return;
-    this.step(task, 'confirm');
+    this.applyEvent(task, 'confirm');
     task.confirmedAt = now;
     task.percentAt = now;
     task.sampledAt = now;
@@ -471,7 +473,7 @@
 
   private stopTask(task: LocalTask, reason: string): void {
     if (task.phase === 'stopping' || task.phase === 'ended') return;
-    this.step(task, 'stop');
+    this.applyEvent(task, 'stop');
     task.stopReason = reason;
     void this.orders.stop(task);
   }
@@ -497,14 +499,14 @@
   private finish(task: LocalTask, end: AttemptEnd, reason: string): void {
     if (task.phase === 'ended') return;
     const now = this.clock.now();
-    this.step(task, 'end');
+    this.applyEvent(task, 'end');
     this.tasks.delete(task.key);
     this.speedMeter.recordEnd(task.key, end === 'done', now);
     this.used = subtractResources(this.used, task.order.resources);
     if (end === 'done') this.healthMeter.recordSuccess();
     if (end === 'failed') this.recordFailure(task, now);
-    const isStopReason = task.stopReason !== '' && reason !== UPSTREAM_CRASHED;
-    this.events.finish(task, end, isStopReason ? task.stopReason : reason);
+    const usesStopReason = task.stopReason !== '' && reason !== UPSTREAM_CRASHED;
+    this.events.finish(task, end, usesStopReason ? task.stopReason : reason);
     this.events.change();
     if (this.isOver) return;
     if (this.leaving && this.load === 0) this.close('left');
@@ -513,7 +515,7 @@
 
   private dropStart(task: LocalTask, reason: string): void {
     if (!this.waiting.remove(task)) return;
-    this.step(task, 'stop');
+    this.applyEvent(task, 'stop');
     this.events.finish(task, 'not-run', reason);
   }
 
@@ -522,7 +524,7 @@
     for (const task of this.waiting.list()) this.dropStart(task, reason);
   }
 
-  private step(task: LocalTask, event: LocalEvent): void {
+  private applyEvent(task: LocalTask, event: LocalEvent): void {
     task.phase = stepMachine(LOCAL_TASK_TABLE, task.phase, event);
   }
 }
