--- a/src/process/ConfigurationExchange.ts
+++ b/src/process/ConfigurationExchange.ts
@@ -43,7 +43,7 @@
 const STALL_AVOID_MS = 2_000;
 /**
  * Time after which a version that no peer reports is abandoned, ms; peers may hold an earlier version that is
- * new.
+ * still newer than the held one.
  */
 const VERSION_EXPIRY_MS = 5_000;
 /**
@@ -52,7 +52,7 @@
  */
 const FETCH_DELAY_MS = 1_000;
 const MAX_FETCH_DELAY_MS = 10_000;
-/** Longest encoded text that is fetched without this delay, characters; it fits one piece. */
+/** Longest encoded text that is fetched without this delay, characters; the length of the longest piece. */
 const MAX_UNDELAYED_LENGTH = 8_192;
 /** Longest list of services in a summary, characters; a longer list is read from the text. */
 const MAX_SERVICES_LENGTH = 1_024;
@@ -77,7 +77,7 @@
   readonly handleAdopted: (version: number, before: number) => void;
   /** The services of a version are known; its text may follow later. */
   readonly recordServices: (version: number, count: number) => void;
-  /** A peer sent an invalid text, or none. */
+  /** A version could not be fetched, sent or decoded. */
   readonly recordFault: (version: number, problem: string) => void;
 }
 
@@ -152,7 +152,7 @@
     return true;
   }
 
-  /** Compares the version reported by a peer, and fetches it if it is newer, unless a request is pending. */
+  /** Requests the summary or text of the version that a peer reports, if it is newer and none is pending. */
   compareVersion(version: number, channel: PeerChannel, now: number): void {
     if (version <= this.version || now < (this.avoidedUntil.get(channel) ?? -Infinity)) return;
     const { wanted } = this;
@@ -163,7 +163,7 @@
     if (now >= this.fetchAfter) this.receiver.offer(channel, now);
   }
 
-  /** Sends the summary of the held version to a peer, which requests the text if it is newer there. */
+  /** Sends the summary of the held version to a peer, which fetches the text if its own is earlier. */
   sendVersion(channel: PeerChannel): void {
     if (this.held) channel.send(this.readSummary(this.held));
   }
@@ -325,7 +325,7 @@
     return undefined;
   }
 
-  /** Returns the encoded text, which is encoded on first use. */
+  /** Returns the text of a version, encoding it on first use. */
   private readText(held: HeldVersion): string {
     if (held.text === undefined && held.configuration) held.text = encodeConfiguration(held.configuration);
     return held.text ?? '';
--- a/src/process/DaemonBase.ts
+++ b/src/process/DaemonBase.ts
@@ -34,7 +34,7 @@
 /** Interval at which a planned stop checks whether the work in progress has ended, ms. */
 const DRAIN_POLL_MS = 20;
 
-/** Exit code after a broken invariant; a supervisor restarts the process. */
+/** Exit code after an exception in a turn, such as a broken invariant; a supervisor restarts the process. */
 export const EXIT_INVARIANT = 70;
 
 /** Options for embedding a daemon. */
@@ -189,7 +189,7 @@
   /** Handles a request other than the health endpoints; returns false for an unknown path. */
   protected abstract routeHttp(request: IncomingMessage, response: ServerResponse, path: string): boolean;
 
-  /** Appends a record to the log. A failure is only logged; the node proposes the record again. */
+  /** Appends a record to the log. A failure is only logged; the record is proposed again while it is due. */
   protected append(record: LogRecord): void {
     this.logger.info('propose', { record: record.type, id: record.id });
     this.platform.append(record).catch((error: unknown) => {
--- a/src/process/MemberTable.ts
+++ b/src/process/MemberTable.ts
@@ -1,6 +1,6 @@
 /**
- * Addresses of the other dispatchers, from the settings and from peers that have a working link to them. An
- * address that is no longer reported expires, so that a removed dispatcher disappears from every table.
+ * Addresses of the other dispatchers, as reported by peers. An address that is no longer reported expires, so
+ * that a removed dispatcher disappears from every table.
  */
 import type { DispatcherPlace } from '../connection/peer/peerMessages.js';
 
@@ -29,7 +29,7 @@
     return fresh;
   }
 
-  /** Lists the dispatchers whose report has not expired. */
+  /** Removes the dispatchers whose report has expired, and lists the others. */
   list(now: number): DispatcherPlace[] {
     for (const [address, { reportedAt }] of this.members)
       if (now - reportedAt > EXPIRY_MS) this.members.delete(address);
--- a/src/process/MetricsServer.ts
+++ b/src/process/MetricsServer.ts
@@ -14,7 +14,7 @@
 export interface MetricDefinition {
   readonly kind: 'counter' | 'histogram' | 'gauge';
   readonly help: string;
-  /** Label names of a counter; for a gauge with `readEach`, its one label. */
+  /** Label names of a counter; for a gauge with `readByLabel`, its one label. */
   readonly labels?: readonly string[];
   /** Upper bounds of the buckets of a histogram, in the unit of the metric. */
   readonly buckets?: readonly number[];
--- a/src/process/PauseGuard.ts
+++ b/src/process/PauseGuard.ts
@@ -1,6 +1,6 @@
 /** Detects pauses of the process, so that pending input is read before decisions are made on stale state. */
 
-/** Shortest gap between two updates that counts as a pause, ms. */
+/** Gap between two updates above which the process was paused, ms. */
 const MIN_PAUSE_MS = 250;
 /** Turns of the event loop in which pending input is read after a pause. */
 const CATCH_UP_TURNS = 3;
--- a/src/process/PieceReceiver.ts
+++ b/src/process/PieceReceiver.ts
@@ -87,7 +87,7 @@
     });
   }
 
-  /** Ends the transfer. A text that is truncated or too long is detected when it is unpacked. */
+  /** Ends the transfer. After an invalid piece the text is truncated, which is detected on decoding. */
   private end(channel: PeerChannel): void {
     const text = this.parts.join('');
     this.source = undefined;
@@ -95,7 +95,7 @@
     this.events.finish(this.wantedVersion, text, channel);
   }
 
-  /** Restarts the transfer when a peer's encoded text differs from that of the previous peer. */
+  /** Restarts the transfer when a peer's text differs in length from that of the previous peer. */
   private askFromStart(channel: PeerChannel): void {
     this.clearParts();
     this.askNext(channel);
--- a/src/process/TurnLoop.ts
+++ b/src/process/TurnLoop.ts
@@ -18,7 +18,7 @@
   readonly end: (now: number) => void;
   /** Handles a pause of the process longer than the bound. */
   readonly pause: (gapMs: number) => void;
-  /** Handles an exception from another handler, which is fatal. */
+  /** Handles an exception from an input or another handler, which is fatal. */
   readonly fail: (error: unknown) => void;
 }
 
--- a/src/process/createLogSink.ts
+++ b/src/process/createLogSink.ts
@@ -3,12 +3,12 @@
 import type { LineSink } from './logger.js';
 
 const STANDARD_OUTPUT = 1;
-/** Most characters buffered for a slow reader; further lines are dropped and counted. */
+/** Most bytes buffered for a slow reader; further batches of lines are dropped and counted. */
 const MAX_BUFFERED_LENGTH = 4 * 1024 * 1024;
 
 /**
- * Creates a sink that writes to standard output without blocking on its reader, as `process.stdout` does on a
- * pipe. The count of dropped lines is logged once the buffer has drained.
+ * Creates a sink that writes to standard output without blocking, whereas `process.stdout` blocks on a pipe
+ * with a slow reader. The count of dropped batches is logged once the buffer has drained.
  *
  * @returns the sink
  */
--- a/src/process/dispatchTimes.ts
+++ b/src/process/dispatchTimes.ts
@@ -21,13 +21,13 @@
 }
 
 /**
- * Derives intervals and timeouts. Orphan timeout, lease and stopping a task together take less time than a
- * disconnected caller needs to resubmit its job.
+ * Derives intervals and timeouts. Orphan timeout and lease together are shorter than the time after which a
+ * disconnected caller resubmits its job; the remaining time is for stopping tasks.
  *
  * @param settings - settings of the process
  * @returns the times
  * @example
- * deriveDispatchTimes(settings).leaseMs; // 585 where callers wait for 1,300 ms
+ * deriveDispatchTimes(settings).leaseMs; // 585 for a resubmitMs of 1,300
  */
 export function deriveDispatchTimes({ resubmitMs, maxLeaseMs }: DispatchSettings): DispatchTimes {
   const leaseMs = Math.floor(Math.min(maxLeaseMs, resubmitMs * LEASE_SHARE));
--- a/src/process/failures.ts
+++ b/src/process/failures.ts
@@ -1,9 +1,9 @@
-/** Handles unexpected errors: a broken invariant ends the process, other errors are logged. */
+/** Handles unexpected errors: all are logged, and a broken invariant also ends the process. */
 import { InvariantError } from '../_lib/errors.js';
 import type { LogFields, ProcessLogger } from './logger.js';
 
 /**
- * Logs an unexpected error, or ends the process if an invariant is broken.
+ * Logs an unexpected error, and ends the process if an invariant is broken.
  *
  * @param logger - logger of the process
  * @param event - event name of the log line
--- a/src/process/logger.ts
+++ b/src/process/logger.ts
@@ -22,7 +22,7 @@
   flush(): void;
 }
 
-/** Destination of log lines; standard output for the daemons. */
+/** Destination of batches of log lines; standard output for the daemons. */
 export type LineSink = (text: string) => void;
 
 /**
--- a/src/process/membership.ts
+++ b/src/process/membership.ts
@@ -1,11 +1,11 @@
-/** Records that a process proposes to keep the membership on the log up to date. */
+/** Creates the log records that a process proposes to keep the membership up to date. */
 import { findProcessId } from '../connection/findProcessId.js';
 import type { ConfigState, MemberConfig } from '../version/configState.js';
 import type { LogRecord } from '../version/logRecord.js';
 
-/** Proposals of one process that have not taken effect yet. */
+/** Proposals of one process, which are repeated until they take effect. */
 export interface ProposalState {
-  /** When each record was last proposed, ms since the epoch, by command id. */
+  /** When each record was last proposed, ms since the epoch, by record id. */
   readonly proposedAt: Map<string, number>;
   /** Delay before the same record is proposed again, ms. */
   readonly repeatMs: number;
@@ -42,7 +42,7 @@
     records.push(createLeave(member.peer, member.joinedOffset));
   }
   if (members.some((member) => member.peer === self.peer)) return records;
-  // The number of leaves in the id lets a process rejoin that was removed by mistake.
+  // The number of leaves in the id allows a process that was removed by mistake to rejoin.
   const command = `join:${self.peer}:${countLeaves(config, self.peer)}`;
   records.push({ type: 'join', id: command, ...self });
   return records;
--- a/src/process/settings/dispatchSettings.ts
+++ b/src/process/settings/dispatchSettings.ts
@@ -76,7 +76,7 @@
   /** Address for metrics, `host:port`; empty to disable them. */
   readonly metricsAddress: string;
   readonly logLevel: LogLevel;
-  /** Whether each placement is logged, in addition to failures. */
+  /** Whether a dispatcher logs placements, at a limited rate; other events are not affected. */
   readonly decisionLog: boolean;
   /** Time from a stop request until the process is killed, s. */
   readonly graceSeconds: number;
--- a/src/process/settings/readDispatchSettings.ts
+++ b/src/process/settings/readDispatchSettings.ts
@@ -52,7 +52,8 @@
 }
 
 /**
- * Checks that leases can end, and their tasks be stopped, before disconnected callers resubmit their jobs.
+ * Checks that a lease may last `MIN_LEASE_MS`, and that a disconnected caller resubmits its job no sooner
+ * than after twice the sum of such a lease and the time to stop a task.
  */
 function findContradictions({ maxLeaseMs, stopMs, resubmitMs }: DispatchSettings): Finding[] {
   const shortest = (MIN_LEASE_MS + stopMs) * 2;
--- a/src/process/startTimer.ts
+++ b/src/process/startTimer.ts
@@ -2,7 +2,7 @@
 import type { ProcessLogger } from './logger.js';
 
 /**
- * Runs a function at an interval. Errors are logged, except that a broken invariant ends the process.
+ * Runs a function at an interval. Errors are logged, and a broken invariant also ends the process.
  *
  * @param logger - logger of the process
  * @param name - name of the timer in the log
--- a/src/request/admission.ts
+++ b/src/request/admission.ts
@@ -8,7 +8,7 @@
   readonly longestMs: number;
   /** Time until its deadline, ms. */
   readonly deadlineMs: number;
-  /** Expected work of the jobs that would be served first, ms of one slot. */
+  /** Expected work of the jobs that would be served before it, ms of one slot. */
   readonly aheadMs: number;
   /** Slots available to this entry. */
   readonly slots: number;
@@ -59,10 +59,13 @@
 
 /** Shortest predicted wait at which fair shares are enforced, ms. */
 const SHARE_CHECK_MIN_WAIT_MS = 1_000;
-/** Most even shares that one caller or team may use. */
+/** Multiple of an even share up to which one caller or team may use the entry. */
 const MAX_EVEN_SHARES = 2;
 
-/** Refuses a job whose predicted finish is too late, with retry hints spread over the predicted backlog. */
+/**
+ * Refuses a job if the table is full, if its caller or team exceeds its share, or if its predicted finish is
+ * too late. Retry hints are spread around the predicted wait.
+ */
 export class LatenessAdmission extends Admission {
   constructor(private readonly maxActiveJobs: number) {
     super();
@@ -81,7 +84,7 @@
   }
 }
 
-/** Finds which share is exceeded while work waits, of the caller or its team; empty for none. */
+/** Returns the refusal reason if the caller or its team exceeds its share while work waits; else empty. */
 function findExceededShare(input: AdmissionInput, slots: number): string {
   const { totalMs, callerMs, teamMs, callers, teams } = input;
   if (totalMs / slots < SHARE_CHECK_MIN_WAIT_MS) return '';
--- a/src/request/agentTaskMachine.ts
+++ b/src/request/agentTaskMachine.ts
@@ -7,7 +7,7 @@
 export type AgentTaskEvent = 'run' | 'finish' | 'refuse' | 'lose' | 'accept';
 
 /**
- * Lifecycle of a task in an agent. `refused` is a tombstone that only a later attempt leaves. `finished` and
+ * Lifecycle of a task in an agent. `refused` is a tombstone until a later attempt is accepted. `finished` and
  * `unknown` are final, so that no task runs twice in an agent.
  */
 export const agentTaskMachine = createMachine({
--- a/src/request/dispatch/JobBounds.ts
+++ b/src/request/dispatch/JobBounds.ts
@@ -32,7 +32,7 @@
     return this.bytes;
   }
 
-  /** Finds the limits of a single job that a submission exceeds. */
+  /** Finds the first limit of a single job that a submission exceeds; empty for none. */
   findExcess({ steps }: JobSubmission): Finding[] {
     const { maxJobSteps, maxJobTasks } = this.limits;
     if (steps.length > maxJobSteps) {
--- a/src/request/dispatch/submission.ts
+++ b/src/request/dispatch/submission.ts
@@ -10,7 +10,7 @@
   readonly gpus: number;
 }
 
-/** Step of a job: parallel tasks that start together once the steps before them are done. */
+/** Step of a job: parallel tasks that may start once the steps in `after` are done. */
 export interface StepNeed {
   readonly count: number;
   readonly resources: Resources;
@@ -39,7 +39,7 @@
 /** Final outcome of a job. */
 export type JobOutcome =
   | { readonly kind: 'completed' }
-  /** A task has failed as often as its queue allows, or upstreams crash under it. */
+  /** A task has failed as often as its queue allows, or too many upstreams crashed under it. */
   | { readonly kind: 'failed'; readonly reason: string }
   /** The job was abandoned; some of its tasks may have run, and may run again if it is resubmitted. */
   | { readonly kind: 'interrupted'; readonly reason: string }
--- a/src/request/job.ts
+++ b/src/request/job.ts
@@ -17,7 +17,7 @@
   /** Creation time of the key, ms since the epoch. */
   readonly createdAt: number;
   readonly event: string;
-  /** Time after which the answer is of no use, ms; undefined for that of the kinds. */
+  /** Time after which the answer is of no use, ms; undefined for the longest deadline of its kinds. */
   readonly deadlineMs: number | undefined;
   readonly tasks: readonly TaskRequest[];
   /** Caller and its team, for fair shares; empty if not given. */
@@ -69,7 +69,7 @@
   readonly event: string;
   readonly caller: string;
   readonly team: string;
-  /** Cleared once the job has reached its final outcome. */
+  /** Cleared at the final outcome, unless the job may be submitted again. */
   tasks: Task[];
   readonly taskCount: number;
   /** Operator priority: the lowest number among its kinds. */
@@ -124,7 +124,7 @@
   /** Whether the job ended without having been claimed, so that none of its tasks ran. */
   unclaimed: boolean;
   endedAt: number;
-  /** Size of bodies and answers, bytes, counted against the entry's limit. */
+  /** Length of bodies and answers, characters, counted against the entry's limit. */
   bytes: number;
   /** Number of tasks requeued after refusals, counted against the retry budget. */
   retries: number;
@@ -196,7 +196,8 @@
 }
 
 /**
- * Builds the queue from the tasks in state `queued`, longest last, so that it is sent first.
+ * Builds the queue from the tasks in state `queued`, longest last, so that it is sent first. Also recomputes
+ * the remaining work.
  *
  * @param job - the job; updated
  */
--- a/src/request/placement.ts
+++ b/src/request/placement.ts
@@ -39,7 +39,7 @@
   }
 }
 
-/** Slowness above which an agent is used only if no other one has a credit. */
+/** Slowness above which an agent is used only if all others with a credit exceed it as well. */
 export const MAX_SLOWNESS = 3;
 
 /** Selects the agent with the least estimated delay among those with a credit. */
@@ -61,7 +61,7 @@
 
 /**
  * Estimates a relative delay: load per slot, weighted by slowness, with a penalty for agents that are too
- * slow.
+ * slow and a small bonus for unused credits.
  */
 function estimateDelay(agent: AgentChoice): number {
   const load = (agent.outstanding + 1) / agent.slots;
--- a/src/request/taskMachine.ts
+++ b/src/request/taskMachine.ts
@@ -10,7 +10,7 @@
 
 /**
  * Lifecycle of a task in the entry. Only a refusal by the agent that it was sent to returns it to `queued`;
- * `find` is a sweep that found the task started elsewhere.
+ * `find` reports that a sweep found the task at an agent.
  */
 export const taskMachine = createMachine({
   id: 'task',
