--- a/src/process/agent/AgentNode.ts
+++ b/src/process/agent/AgentNode.ts
@@ -39,7 +39,7 @@
 /** An effect of an agent, or a record to append to the log. */
 export type AgentNodeEffect = AgentEffect | { readonly type: 'append'; readonly record: LogRecord };
 
-/** An agent process, with its registrar, as a pure state machine over messages and time. */
+/** An agent process, with its registrar, as a state machine without I/O. */
 export class AgentNode {
   readonly state: AgentState;
   readonly registrar: RegistrarState;
@@ -184,7 +184,10 @@
     this.appends.push(...selectDueRecords(this.proposals, records, now));
   }
 
-  /** Renews the lease if the entry reports a majority of the registrars at this offset: no seat was reassigned. */
+  /**
+   * Handles a heartbeat. Renews the lease if the entry has recently received messages from a majority of the
+   * registrars and its configuration is not older.
+   */
   private handleHeartbeat(from: string, heartbeat: Heartbeat, now: number): void {
     const { config } = this.registrar;
     const majority = heartbeat.registrarsHeard > config.registrars.length / 2;
--- a/src/process/agent/_lib/findCredit.ts
+++ b/src/process/agent/_lib/findCredit.ts
@@ -12,7 +12,8 @@
 }
 
 /**
- * Finds the credit of an entry, or creates it: a start may be processed after its link was closed.
+ * Finds the credit of an entry. Creates it for a new link, and for a start that is processed after its link was
+ * closed.
  *
  * @param state - the agent's state
  * @param peer - the entry
--- a/src/process/agent/_lib/replyResult.ts
+++ b/src/process/agent/_lib/replyResult.ts
@@ -31,8 +31,8 @@
  * @param state - the agent's state
  * @param to - the entry
  * @param start - the rejected start
- * @param outcome - `refused` if the task was certainly not started by this message, else `unknown`
- * @param reason - reason for the log
+ * @param outcome - `refused` for a fenced start; `unknown` when the task may have run before
+ * @param reason - reason that the entry receives
  */
 export function replyWithoutRecord(
   state: AgentState,
--- a/src/process/agent/agentState.ts
+++ b/src/process/agent/agentState.ts
@@ -7,7 +7,7 @@
   readonly slots: number;
   /** Credits in addition to the slots, so that slots stay busy during the round trip to the entries. */
   readonly overcommit: number;
-  /** How long a job is kept after its creation, ms. */
+  /** How long a new job is accepted after its creation, ms; its record is kept slightly longer. */
   readonly horizonMs: number;
   /** Largest number of jobs in the table; at it no credit is granted. */
   readonly maxJobs: number;
--- a/src/process/agent/endTask.ts
+++ b/src/process/agent/endTask.ts
@@ -10,7 +10,7 @@
   | { readonly type: 'answered'; readonly status: number; readonly body: string }
   /** The request was not sent, because no connection could be opened. */
   | { readonly type: 'unsent'; readonly reason: string }
-  /** The connection failed after the request was sent. */
+  /** The request failed and the task may have run. */
   | { readonly type: 'lost'; readonly reason: string };
 
 /**
--- a/src/process/agent/expireAgentJobs.ts
+++ b/src/process/agent/expireAgentJobs.ts
@@ -4,7 +4,8 @@
 export const HORIZON_MARGIN_MS = 10_000;
 
 /**
- * Removes jobs past the horizon. A later start for one of them is answered with `unknown` and not run.
+ * Removes jobs past the horizon that have no waiting or running tasks. A later start for one of them is answered
+ * with `unknown` and not run.
  *
  * @param state - the agent's state
  * @param now - ms since the epoch
--- a/src/process/agent/handleAck.ts
+++ b/src/process/agent/handleAck.ts
@@ -5,8 +5,8 @@
 const DROP_ABOVE_SHARE = 0.5;
 
 /**
- * Records that the owner holds some answers. The agent keeps them for a takeover, but drops the oldest when the
- * held answers grow too large.
+ * Records that the owner has received some answers. The agent keeps them for a takeover, but drops the oldest of
+ * them when the held answers grow too large.
  *
  * @param state - the agent's state
  * @param ack - the message
--- a/src/process/agent/handleStart.ts
+++ b/src/process/agent/handleStart.ts
@@ -8,8 +8,9 @@
 import { runWaitingTasks } from './runWaitingTasks.js';
 
 /**
- * Handles a start idempotently. A repeated start is answered with the recorded state of its task, and one with an
- * epoch below the job's is refused. A refused attempt is recorded, so that it never runs.
+ * Handles a start idempotently. A repeated start is answered with the recorded state of its task; while the task
+ * runs, only a start marked as a resend is answered. A start with an epoch below the job's is refused. A refused
+ * attempt is recorded, so that it never runs.
  *
  * @param state - the agent's state
  * @param from - the entry that sent it
--- a/src/process/agent/handleSweep.ts
+++ b/src/process/agent/handleSweep.ts
@@ -6,7 +6,8 @@
 import { grantCredits } from './grantCredits.js';
 
 /**
- * Fences a job for its new owner and sends it the state of all recorded tasks of the job.
+ * Fences a job for its new owner and sends it the state of all recorded tasks of the job. A sweep with an epoch
+ * below the job's is answered as fenced, without tasks.
  *
  * @param state - the agent's state
  * @param from - the entry that took the job over
--- a/src/process/entry/EntryDaemon.ts
+++ b/src/process/entry/EntryDaemon.ts
@@ -287,7 +287,7 @@
     this.updateLinks();
   }
 
-  /** Dials the selected agents, all registrars and the entries with a greater id; closes the other links. */
+  /** Dials the selected agents, all registrars and the entries with a greater id; closes other links. */
   private updateLinks(): void {
     const wanted = new Set(this.sweepAddresses);
     const agents = this.liveVms.filter((vm) => vm.role === 'agent' && !vm.leaving);
@@ -314,7 +314,7 @@
     setTimeout(() => this.sweepAddresses.delete(vm.address), LIVE_POLL_MS * 10).unref();
   }
 
-  /** Sets a timer that releases held jobs exactly at the next event's start, without waiting for a tick. */
+  /** Sets a timer that releases held jobs at the next event's start, without waiting for a tick. */
   private scheduleEventStart(now: number): void {
     const { config } = this.node.state;
     if (config.offset === this.startTimerOffset) return;
--- a/src/process/entry/EntryNode.ts
+++ b/src/process/entry/EntryNode.ts
@@ -59,7 +59,7 @@
 /** An effect of an entry, or a record to append to the log. */
 export type EntryNodeEffect = EntryEffect | { readonly type: 'append'; readonly record: LogRecord };
 
-/** An entry process as a pure state machine over messages and time. */
+/** An entry process as a state machine without I/O. */
 export class EntryNode {
   readonly state: EntryState;
   private readonly proposals: ProposalState;
@@ -187,7 +187,7 @@
     releaseHeldJobs(this.state, now);
   }
 
-  /** True when the entry can serve jobs: it is a member, has a lease and has linked at least one agent. */
+  /** True when the entry can serve jobs: it is a member and has a lease and an agent that is not lost. */
   isReady(now: number): boolean {
     return this.isMember && hasLease(this.state, now) && this.state.agents.size > 0;
   }
@@ -257,8 +257,8 @@
   }
 
   /**
-   * Sends heartbeats on idle links. Some rounds include the busy links too, because a heartbeat renews a
-   * registrar's lease while it cannot read the log.
+   * Sends heartbeats on idle links. Some rounds, and all rounds while this entry cannot read the log, include the
+   * busy links too, because a heartbeat renews a registrar's lease while the registrar cannot read the log.
    */
   private sendHeartbeats(now: number): void {
     this.heartbeatRounds += 1;
--- a/src/process/entry/_lib/backlog.ts
+++ b/src/process/entry/_lib/backlog.ts
@@ -41,7 +41,7 @@
 }
 
 /**
- * Finds how much of the entry's work belongs to a job's caller and team. An empty name has no work.
+ * Finds how much of the entry's work belongs to a job's caller and team: 0 for a job without a caller or team.
  *
  * @param state - the entry's state
  * @param job - the job to admit
@@ -64,7 +64,7 @@
   };
 }
 
-/** Work below which a caller or team is removed, ms; allows for rounding errors in the sums. */
+/** Work below which the share of a caller or team is deleted, ms; allows for rounding errors in the sums. */
 const MIN_SHARE_MS = 0.01;
 
 function addShare(state: EntryState, key: string, workMs: number): void {
--- a/src/process/entry/_lib/endJob.ts
+++ b/src/process/entry/_lib/endJob.ts
@@ -1,4 +1,4 @@
-/** Functions that end a job with its one outcome. */
+/** Functions that end a job with its outcome. */
 import { assertInvariant } from '../../../_lib/assertInvariant.js';
 import type { Job, JobAnswer, Ran } from '../../../request/job.js';
 import type { EntryState } from '../entryState.js';
@@ -99,11 +99,11 @@
 }
 
 /**
- * Ends a job with the answer of the entry that owns it.
+ * Ends an attached job with the answer of the entry that owns it, or with a conflict.
  *
  * @param state - the entry's state
  * @param job - an attached job
- * @param answer - the owner's answer
+ * @param answer - the owner's answer or the conflict
  * @param now - ms since the epoch
  */
 export function endWithAnswer(state: EntryState, job: Job, answer: JobAnswer, now: number): void {
@@ -123,9 +123,9 @@
   for (const caller of job.callers) state.outbox.push({ type: 'answer', caller, job: job.key, answer });
   job.callers = [];
   for (const { peer, id } of job.attached) {
+    // No task of a refused or unclaimed job was started, so the other entry may take the job over.
     const absent = answer.outcome === 'refused' || job.unclaimed;
     const attached = { type: 'attached', id, job: job.key } as const;
-    // No task was started, so the other entry may take the job over.
     const message = absent
       ? { ...attached, state: 'absent', answer: '' }
       : { ...attached, state: 'answered', answer: JSON.stringify(answer) };
--- a/src/process/entry/_lib/estimateOwnSlots.ts
+++ b/src/process/entry/_lib/estimateOwnSlots.ts
@@ -4,7 +4,7 @@
  * Estimates the slots available to an entry: an even share among the entries, or its current use if higher.
  *
  * @param state - the entry's state
- * @returns number of slots at linked agents that are not leaving
+ * @returns number of slots at linked agents that are not leaving; may be fractional
  */
 export function estimateOwnSlots(state: EntryState): number {
   let slots = 0;
--- a/src/process/entry/applyEntryConfig.ts
+++ b/src/process/entry/applyEntryConfig.ts
@@ -6,8 +6,8 @@
 import type { EntryState } from './entryState.js';
 
 /**
- * Applies a newer configuration. Drops pending claims on seats that changed hands and announces the claims
- * that this entry owns to the new registrars.
+ * Applies a newer configuration. Drops pending claims on seats with a new tenure, and announces the claims that
+ * this entry owns to the new registrars.
  *
  * @param state - the entry's state
  * @param config - a configuration at the same offset or a later one
--- a/src/process/entry/attachJob.ts
+++ b/src/process/entry/attachJob.ts
@@ -23,7 +23,8 @@
 }
 
 /**
- * Sends an attach request to the owner, or starts a takeover once the owner has been unreachable for too long.
+ * Sends an attach request to the owner, or starts a takeover once the owner is no longer a member or has been
+ * unreachable for too long.
  *
  * @param state - the entry's state
  * @param job - an attached job
@@ -43,7 +44,7 @@
 
 /**
  * Replies to an entry that attaches to a job: with its answer, with `waiting` until the job ends, or with
- * `absent` if this entry does not have the job.
+ * `absent` if this entry has not run the job.
  *
  * @param state - the entry's state
  * @param from - the attaching entry
--- a/src/process/entry/entryState.ts
+++ b/src/process/entry/entryState.ts
@@ -14,11 +14,11 @@
   readonly horizonMs: number;
   /** Largest assumed difference between two clocks. */
   readonly skewMs: number;
-  /** How long the entry may claim after it last read the log or heard from a majority of the registrars. */
+  /** How long the entry may claim after it last read the log or had messages from a majority of registrars. */
   readonly leaseMs: number;
   /** Longest wait for a claim; past it the job fails. */
   readonly claimTimeoutMs: number;
-  /** First wait before a claim is resent; doubled up to `claimRetryMaxMs`. */
+  /** Base wait before a claim is resent; doubled per try up to the maximum. The first wait is 10 times the base. */
   readonly claimRetryMs: number;
   readonly claimRetryMaxMs: number;
   /** How long a linked entry may send nothing before it counts as unreachable; longer than the heartbeat interval. */
@@ -29,13 +29,13 @@
   readonly announceRepeatMs: number;
   /** Number of claims in one part of an announcement. */
   readonly claimsPerPart: number;
-  /** Wait before an unanswered attach request is resent; a sweep is resent after a quarter of it. */
+  /** Interval between attach requests for a job that has not ended; a sweep is resent after a quarter of it. */
   readonly repeatMs: number;
   /** How long a sweep waits for an agent. */
   readonly sweepTimeoutMs: number;
   /** How long an agent's link may be down before the agent is removed and its tasks count as lost. */
   readonly agentLostMs: number;
-  /** Wait, in addition to the expected duration, before the start of an unanswered task is resent. */
+  /** Wait before an unanswered start is resent; the first wait adds a multiple of the expected duration. */
   readonly askAgainMs: number;
   /** Largest number of admitted active jobs. */
   readonly maxActiveJobs: number;
@@ -71,7 +71,7 @@
   retryFloor: 20,
 };
 
-/** An agent incarnation as an entry sees it. */
+/** Connection, credit and load of an agent incarnation. */
 export interface AgentView {
   readonly peer: string;
   readonly failureDomain: string;
@@ -94,7 +94,7 @@
   slowness: number;
 }
 
-/** A linked process as an entry sees it. */
+/** Connection of a peer process. It is kept after its link is lost. */
 export interface PeerView {
   readonly peer: string;
   connected: boolean;
@@ -144,7 +144,7 @@
   config: ConfigState;
   /** When the log was last read, ms since the epoch. */
   logReadAt: number;
-  /** Latest time at or after which a majority of the registrars sent a message, ms since the epoch. */
+  /** Latest time at or after which each registrar of a majority last sent a message, ms since the epoch. */
   majorityReceivedAt: number;
   readonly agents: Map<string, AgentView>;
   readonly peers: Map<string, PeerView>;
--- a/src/process/entry/finishTurn.ts
+++ b/src/process/entry/finishTurn.ts
@@ -29,7 +29,7 @@
 }
 
 /**
- * Reports waiting tasks, or a clearly more urgent first task, to as many agents as the most urgent job has
+ * Reports waiting tasks, or a clearly more urgent first task, to as many agents as the most urgent job has queued
  * tasks. Agents are selected round-robin.
  */
 function sendUrgentDemand(state: EntryState, waiting: number, headRank: number, tasks: number): void {
--- a/src/process/entry/handleClaimed.ts
+++ b/src/process/entry/handleClaimed.ts
@@ -52,7 +52,7 @@
   state.jobs.delete(job.key);
 }
 
-/** Handles a lookup that found no claim: a pending refusal is sent, since the job has not run anywhere. */
+/** Handles a lookup that found no claim, so the job has not run: sends a pending refusal or claims the job. */
 function finishLookup(state: EntryState, job: Job, now: number): void {
   if (job.refusal) return refuseJob(state, job, job.refusal, now);
   startClaim(state, job, 'claim', now);
@@ -62,7 +62,7 @@
   const mode = job.claimMode;
   if (mode === 'lookup') return resumeOwnClaim(state, job, claimed, now);
   const earlier = mode === 'takeover' ? mergeMembers(claimed.members, job.members) : claimed.members;
-  // Under any epoch but the job's current one, tasks may have been started that this entry does not know of.
+  // Under any epoch but the job's current one, tasks may have been started that this entry has no record of.
   const sweep = mode === 'takeover' || (earlier.length > 0 && compareEpochs(claimed.epoch, job.epoch) !== 0);
   job.owner = '';
   job.epoch = claimed.epoch;
@@ -72,7 +72,10 @@
   startJob(state, job, now);
 }
 
-/** Handles a lookup that found this entry as the owner, after a refusal or a fence by an entry that was lost. */
+/**
+ * Handles a lookup that found this entry as the owner: sends a pending refusal or claims the job again. A job
+ * that was superseded or has another epoch fails.
+ */
 function resumeOwnClaim(state: EntryState, job: Job, claimed: Claimed, now: number): void {
   if (compareEpochs(claimed.epoch, job.epoch) !== 0) return failJob(state, job, 'superseded', now);
   if (job.owner !== '') return failJob(state, job, 'superseded', now);
--- a/src/process/entry/handleResult.ts
+++ b/src/process/entry/handleResult.ts
@@ -42,7 +42,8 @@
 }
 
 /**
- * Ends a job because one of its tasks may have run without an answer.
+ * Fails a job because one of its tasks may have run and its answer is lost. During a sweep only the task is
+ * marked; the job fails when the sweep ends.
  *
  * @param state - the entry's state
  * @param job - the job
@@ -77,7 +78,7 @@
   if (job.queued.length > 0) enqueueJob(state, job);
 }
 
-/** Requeues a task whose attempt did not start, or ends the job once its retry budget is used up. */
+/** Requeues a task whose attempt did not start. Ends the job if the task is late or the retry budget is spent. */
 function requeueTask(state: EntryState, job: Job, task: Task, result: Result, now: number): void {
   changeTask(state, task, 'refuse');
   task.attempt += 1;
--- a/src/process/entry/placeTasks.ts
+++ b/src/process/entry/placeTasks.ts
@@ -10,7 +10,7 @@
 const RESEND_FACTOR = 4;
 
 /**
- * Sends queued tasks to agents, lowest rank first, until no agent has a credit left.
+ * Sends queued tasks to agents, lowest rank first, until no queued task or no available agent is left.
  *
  * @param state - the entry's state; its outbox receives the starts
  * @param now - ms since the epoch
--- a/src/process/entry/shedJobs.ts
+++ b/src/process/entry/shedJobs.ts
@@ -8,8 +8,8 @@
 const SHED_INTERVAL_MS = 200;
 
 /**
- * Sheds waiting jobs that are now predicted to miss their deadline because more urgent jobs arrived later. Only
- * jobs without a started task are refused.
+ * Sheds waiting jobs that are now predicted to miss their deadline, for example because more urgent jobs arrived
+ * later. Only jobs without a started task are refused.
  *
  * @param state - the entry's state
  * @param now - ms since the epoch
--- a/src/process/entry/submitJob.ts
+++ b/src/process/entry/submitJob.ts
@@ -14,8 +14,8 @@
 const BUSY_RETRY_MS = 1_000;
 
 /**
- * Handles a submission. A caller of a known job is attached to that job's answer. A new job passes admission
- * control and its key is claimed; before a refusal the key is looked up, to confirm that the job has not run.
+ * Handles a submission. A caller of a known job receives that job's answer. A new job is claimed if admission
+ * control accepts it; before a refusal its key is looked up, to confirm that the job has not run.
  *
  * @param state - the entry's state
  * @param request - the validated submission, of a configured event
@@ -61,7 +61,7 @@
   if (job.answer) deliverAnswer(state, job);
 }
 
-/** Evaluates a job that ended without running once more, under its old claim or a new one. */
+/** Evaluates admission again for a job that ended without running; it reuses its claim or makes a new one. */
 function reopenJob(state: EntryState, job: Job, now: number): void {
   const event = state.config.events.find((one) => one.name === job.event);
   if (!event || isOverloaded(state)) return deliverAnswer(state, job);
--- a/src/process/entry/sweepJob.ts
+++ b/src/process/entry/sweepJob.ts
@@ -99,7 +99,7 @@
   if (one.state === 'finished' || one.state === 'unknown') changeTask(state, task, 'lose');
 }
 
-/** Runs the remaining tasks after a sweep, or fails the job when one of them may have been started already. */
+/** Ends a sweep: completes the job, runs its other tasks, or fails it if one without an answer may have run. */
 function finishSweep(state: EntryState, job: Job, now: number): void {
   const queued = job.tasks.filter((task) => task.state === 'queued').length;
   const detail = { found: job.tasks.length - queued, queued, lost: job.lostMembers.length };
--- a/src/process/entry/tickEntry.ts
+++ b/src/process/entry/tickEntry.ts
@@ -11,7 +11,7 @@
 import { shedJobs } from './shedJobs.js';
 import { repeatSweep } from './sweepJob.js';
 
-/** How long an ended job is kept beyond the horizon, ms. */
+/** How long an ended job is kept beyond the horizon and the clock skew, ms. */
 const KEEP_MARGIN_MS = 5_000;
 
 /**
--- a/src/process/registrar/handleAnnounce.ts
+++ b/src/process/registrar/handleAnnounce.ts
@@ -9,7 +9,8 @@
  * @param state - the registrar's state
  * @param from - the entry
  * @param announce - one part of its announcement
- * @returns false if the registrar lacks the entry's configuration or agent sets, so that the entry has to resend it
+ * @returns false if the part was not recorded, because the registrar lacks the entry's configuration or agent sets
+ * or the entry is not a member; the entry has to resend it
  * @example
  * handleAnnounce(state, 'entry-1@a', { type: 'announce', offset: 3, claims: [], id: 1, part: 0, parts: 1 });
  */
@@ -30,7 +31,7 @@
   return claim.members.length > 0 ? claim.members : state.agentSets.get(`${from}/${claim.setId}`);
 }
 
-/** Records one part of an announcement and returns whether all its parts have been received. */
+/** Records one part of an announcement and returns whether all parts of it have been received. */
 function recordPart(state: RegistrarState, from: string, announce: Announce): boolean {
   const { id, part, parts } = announce;
   const known = state.parts.get(from);
--- a/src/process/registrar/handleClaim.ts
+++ b/src/process/registrar/handleClaim.ts
@@ -9,8 +9,8 @@
 const NO_CLAIM = { epoch: NO_EPOCH, owner: '', members: [] as readonly string[], digest: '' };
 
 /**
- * Handles a claim. The first entry to claim a key owns it. Any other entry receives the owner, and may take the
- * job over by sending the epoch that it expects to replace.
+ * Handles a claim. The first entry to claim a key owns it. Any other entry receives the owner and its epoch, and
+ * may take the job over by sending the epoch that it expects to replace.
  *
  * @param state - the registrar's state
  * @param from - the entry
--- a/src/process/registrar/registrarState.ts
+++ b/src/process/registrar/registrarState.ts
@@ -4,7 +4,7 @@
 
 /** Limits of a registrar. */
 export interface RegistrarLimits {
-  /** How long a claim is kept after its key's creation, ms. */
+  /** How long a key may be claimed after its creation, ms; the claim is kept for two `skewMs` longer. */
   readonly horizonMs: number;
   /** Largest assumed difference between two clocks, ms. */
   readonly skewMs: number;
