--- a/src/connection/peer/PeerListener.ts
+++ b/src/connection/peer/PeerListener.ts
@@ -8,13 +8,14 @@
 /** Timeout for the first message on an accepted connection, ms. */
 const HELLO_TIMEOUT_MS = 5_000;
 
+/** Default interval of the checks for idle channels, ms. */
+const IDLE_CHECK_INTERVAL_MS = 2_500;
 /**
- * A channel is closed after this number of consecutive checks, at this interval in ms, without a message.
- * Peers send one at least every second. This releases the buffers of connections whose peer closed them
- * without a FIN or RST that arrived. Checks are counted instead of elapsed time, so that a process resumed
- * after a pause reads pending messages before it closes a channel.
+ * Number of consecutive checks without a message after which the next check closes a channel; peers send a
+ * message at least every second. This releases the buffers of connections whose FIN or RST was lost. Checks
+ * are counted instead of elapsed time, so that a process resumed after a pause reads pending messages before
+ * it closes a channel.
  */
-const IDLE_CHECK_INTERVAL_MS = 2_500;
 const MAX_IDLE_CHECKS = 4;
 
 /** Callbacks of a listener to its owner. */
--- a/src/connection/peer/PongMonitor.ts
+++ b/src/connection/peer/PongMonitor.ts
@@ -13,15 +13,15 @@
 const MAX_PONG_TIMEOUT_MS = 1_500;
 
 /**
- * Longest time for which other received data extends the wait for a pong, ms. A reconnect would send all data
- * in flight again; the limit covers a connection on which only the outgoing direction is dead.
+ * Longest wait for a pong when other received data extends it, ms. A reconnect would send all data in flight
+ * again; the limit covers a connection on which only the outgoing direction is dead.
  */
 const MAX_ARRIVAL_EXTENSION_MS = 1_500;
 
 /** Monitors the successive connections to one peer. */
 export class PongMonitor {
   private readonly timeout: AnswerTimeout;
-  /** Time of the oldest ping without a pong on the open connection; undefined when none is pending. */
+  /** Time of the first ping after the last pong on the open connection; undefined when there is none. */
   private oldestPingAt: number | undefined;
   /** Time of the last data received on the open connection. */
   private lastArrivalAt = -Infinity;
@@ -66,7 +66,8 @@
   }
 
   /**
-   * Whether the pong has timed out and no other data arrived within the timeout, up to the longest extension.
+   * Whether the pong has timed out and either no other data arrived within the timeout or the longest wait
+   * has passed.
    */
   isOverdue(now: number): boolean {
     if (this.oldestPingAt === undefined) return false;
--- a/src/connection/peer/peerMessages.ts
+++ b/src/connection/peer/peerMessages.ts
@@ -16,7 +16,7 @@
   readonly attempt: number;
 }
 
-/** Whether an upstream accepts tasks. `silent`: unresponsive, an order or a renewal has no answer. */
+/** Whether an upstream accepts tasks. `silent`: an order or a renewal was not answered. */
 export type UpstreamState = 'absent' | 'joining' | 'ready' | 'silent' | 'draining';
 
 /** Health of an upstream as rated by its executor from recent runs. */
@@ -239,7 +239,7 @@
   readonly proofs: number;
 }
 
-/** Exchange between dispatchers of tasks that may crash upstreams. */
+/** Suspect tasks, sent from one dispatcher to another. */
 export interface SuspectNotice {
   readonly type: 'suspects';
   readonly tasks: readonly SuspectTask[];
@@ -300,7 +300,10 @@
   readonly emptied: EmptiedDomains;
 }
 
-/** Dispatchers to which the sender has a working link, and the sender itself if it is one. */
+/**
+ * Addresses of dispatchers: an executor lists those to which it has a working link, a dispatcher new ones, or
+ * itself and some others.
+ */
 export interface MembersNotice {
   readonly type: 'members';
   readonly entries: readonly DispatcherPlace[];
--- a/src/ports/CallerGateway.ts
+++ b/src/ports/CallerGateway.ts
@@ -14,7 +14,7 @@
 /** Operations of the dispatcher for the gateway. */
 export interface JobService {
   readonly configuration: Configuration | undefined;
-  /** Whether the dispatcher accepts new connections. */
+  /** Whether the dispatcher can serve new jobs; reported to the load balancer. */
   readonly isReady: boolean;
   /** Whether the process is shutting down; connections are then closed after their answer. */
   readonly isLeaving: boolean;
--- a/standins/protocol/StoreStandin.ts
+++ b/standins/protocol/StoreStandin.ts
@@ -28,9 +28,9 @@
   fault: StoreFault = 'none';
   /** Largest number of the operator's keys in one answer. */
   pageItems = 500;
-  /** Number of answers that began with the first key. */
+  /** Number of reads of the newest records from the first key on. */
   wholeReads = 0;
-  /** Number of answers without a key. */
+  /** Number of answers without any of the operator's keys. */
   endReads = 0;
   /** Rate at which the operator's newest records are sent, bytes/ms. */
   bytesPerMs = Infinity;
