--- a/src/connection/peer/PeerDialer.ts
+++ b/src/connection/peer/PeerDialer.ts
@@ -117,7 +117,7 @@
     peer.channel?.close('forgotten');
   }
 
-  /** Closes all channels. */
+  /** Closes all channels and stops redialing. */
   stop(): void {
     this.stopped = true;
     for (const address of this.addresses) this.remove(address);
--- a/src/connection/peer/peerMessages.ts
+++ b/src/connection/peer/peerMessages.ts
@@ -1,7 +1,8 @@
 /**
- * Messages between executors and dispatchers. An executor dials every dispatcher of which it has the address;
- * both write one JSON message per line. Times named `at` are on the executor's monotonic clock in ms; clocks
- * of different processes are never compared. On the wire, `agent` is an executor and `entry` a dispatcher.
+ * Messages of the links, with one JSON message per line. An executor dials every dispatcher of which it has
+ * the address; dispatchers also dial each other. Times named `at` are on the monotonic clock of the process
+ * that dialed, in ms; clocks of different processes are never compared. On the wire, `agent` is an executor
+ * and `entry` a dispatcher.
  */
 import type { Resources } from '../../request/dispatch/submission.js';
 import type { Configuration } from '../../version/configuration.js';
@@ -95,11 +96,11 @@
   readonly place: DispatcherPlace;
 }
 
-/** Periodic heartbeat of an executor. */
+/** Periodic heartbeat of the process that dialed the link: an executor or another dispatcher. */
 export interface Ping {
   readonly type: 'ping';
   readonly at: number;
-  /** Version of the executor's newest configuration; -1 for none. */
+  /** Version of the sender's newest configuration; -1 for none. */
   readonly version: number;
   /** Revision of the newest list of emptied failure domains; -1 for none. Not sent by earlier versions. */
   readonly emptiedRevision?: number | undefined;
@@ -123,7 +124,10 @@
   readonly typicalSpeed: number;
   /** Whether tasks wait at the dispatcher; the executor then reports freed capacity immediately. */
   readonly isWaiting: boolean;
-  /** CPU requested by those tasks, thousandths of a core. Not sent by earlier versions. */
+  /**
+   * CPU requested by those tasks, thousandths of a core. Sent in the first pong of a link and while tasks wait;
+   * not sent by earlier versions.
+   */
   readonly waitingCpuMilli?: number | undefined;
 }
 
--- a/src/connection/peer/peerSchemas.ts
+++ b/src/connection/peer/peerSchemas.ts
@@ -1,6 +1,6 @@
 /**
- * JSON schemas of the messages between dispatchers and executors. Fields that are not listed are ignored, so
- * that newer versions may add some. `bench/generateValidators.ts` generates the validators.
+ * JSON schemas of the messages in `peerMessages.ts`. Fields that are not listed are ignored, so that newer
+ * versions may add some. `bench/generateValidators.ts` generates the validators.
  */
 
 const TEXT = { type: 'string' } as const;
