--- a/src/connection/peer/peerMessages.ts
+++ b/src/connection/peer/peerMessages.ts
@@ -1,7 +1,8 @@
 /**
- * Messages between executors and dispatchers. An executor dials every dispatcher of which it has the address;
- * both write one JSON message per line. Times named `at` are on the executor's monotonic clock in ms; clocks
- * of different processes are never compared. On the wire, `agent` is an executor and `entry` a dispatcher.
+ * Messages of the links, with one JSON message per line. An executor dials every dispatcher of which it has
+ * the address; dispatchers also dial each other. Times named `at` are on the monotonic clock of the process
+ * that dialed, in ms; clocks of different processes are never compared. On the wire, `agent` is an executor
+ * and `entry` a dispatcher.
  */
 import type { Resources } from '../../request/dispatch/submission.js';
 import type { Configuration } from '../../version/configuration.js';
@@ -16,7 +17,7 @@
   readonly attempt: number;
 }
 
-/** Whether an upstream accepts tasks. `silent`: unresponsive, an order or a renewal has no answer. */
+/** Whether an upstream accepts tasks. `silent`: an order or a renewal was not answered. */
 export type UpstreamState = 'absent' | 'joining' | 'ready' | 'silent' | 'draining';
 
 /** Health of an upstream as rated by its executor from recent runs. */
@@ -95,11 +96,11 @@
   readonly place: DispatcherPlace;
 }
 
-/** Periodic heartbeat of an executor. */
+/** Periodic heartbeat of the process that dialed the link: an executor or another dispatcher. */
 export interface Ping {
   readonly type: 'ping';
   readonly at: number;
-  /** Version of the executor's newest configuration; -1 for none. */
+  /** Version of the sender's newest configuration; -1 for none. */
   readonly version: number;
   /** Revision of the newest list of emptied failure domains; -1 for none. Not sent by earlier versions. */
   readonly emptiedRevision?: number | undefined;
@@ -123,7 +124,10 @@
   readonly typicalSpeed: number;
   /** Whether tasks wait at the dispatcher; the executor then reports freed capacity immediately. */
   readonly isWaiting: boolean;
-  /** CPU requested by those tasks, thousandths of a core. Not sent by earlier versions. */
+  /**
+   * CPU requested by those tasks, thousandths of a core. Sent in the first pong of a link and while tasks wait;
+   * not sent by earlier versions.
+   */
   readonly waitingCpuMilli?: number | undefined;
 }
 
@@ -239,7 +243,7 @@
   readonly proofs: number;
 }
 
-/** Exchange between dispatchers of tasks that may crash upstreams. */
+/** Suspect tasks, sent from one dispatcher to another. */
 export interface SuspectNotice {
   readonly type: 'suspects';
   readonly tasks: readonly SuspectTask[];
@@ -300,7 +304,10 @@
   readonly emptied: EmptiedDomains;
 }
 
-/** Dispatchers to which the sender has a working link, and the sender itself if it is one. */
+/**
+ * Addresses of dispatchers: an executor lists those to which it has a working link, a dispatcher new ones, or
+ * itself and some others.
+ */
 export interface MembersNotice {
   readonly type: 'members';
   readonly entries: readonly DispatcherPlace[];
